--- a/scripts/deployment.py
+++ b/scripts/deployment.py
@@ -128,6 +128,7 @@
             free_port() for _ in range(4))
         self.settings = self.folder / "settings.ini"
         self.data = self.folder / "data"
+        self.binary = deployment.bin / "rattandyke"
         self.process = None
         self.killed_at = None
 
@@ -148,8 +149,8 @@
 
     def start(self):
         self.process = Process(
-            [self.deployment.bin / "rattandyke", "serve", "--settings",
-             self.settings], self.folder / "output", self.folder)
+            [self.binary, "serve", "--settings", self.settings],
+            self.folder / "output", self.folder)
 
     def status(self):
         return call_json(self.admin, "GET", "/v1/status")
--- a/scripts/soak_run.py
+++ b/scripts/soak_run.py
@@ -109,6 +109,7 @@
         self.proxy = Proxy((self.outside, world.port(1)),
                            (self.listen, world.port(1)))
         self.folder = world.folder / self.name
+        self.binary = world.binary
         self.process = None
         self.life = soak_judge.Life()
         self.told_to_end = False
@@ -148,7 +149,7 @@
         self.life.add(time.monotonic(), "start")
         log = open(self.folder / "log", "ab")
         self.process = subprocess.Popen(
-            [str(self.world.binary), "gateway", "--settings", str(file)],
+            [str(self.binary), "gateway", "--settings", str(file)],
             stdout=log, stderr=log)
         log.close()
 
