--- a/src/librattandyke/gateway/cold_upstream_test.cpp
+++ b/src/librattandyke/gateway/cold_upstream_test.cpp
@@ -1,6 +1,6 @@
-// Cold upstreams: for some seconds they bear only a few requests in any second
-// and crash at the rate that warm ones run. On homes of slots in simulated
-// time; every send is counted in each sliding second.
+// Cold upstreams bear only a few requests in any second for some seconds, and
+// crash at the request rate of warm ones. These tests run the brokers of home
+// entries in simulated time and count the requests in each sliding second.
 #include <deque>
 #include <random>
 
@@ -19,9 +19,9 @@
 constexpr double kRate = 6.7;
 constexpr double kFactor = 1.5;
 constexpr double kSlack = 8;
-/// What the upstream bears in one second.
-constexpr double kBorne = kRate * kFactor + kSlack;
-const UpstreamSet::Options kOptionsOfHome{
+/// Requests that the cold upstream bears in one second.
+constexpr double kMaxColdRate = kRate * kFactor + kSlack;
+const UpstreamSet::Options kHomeOptions{
   std::chrono::seconds{ 2 }, std::chrono::seconds{ 5 }, kFactor, kSlack, "e", {}
 };
 
@@ -50,7 +50,7 @@
   return state;
 }
 
-/// Counts sends in sliding seconds.
+/// Counts requests in sliding seconds.
 class Arrivals
 {
 public:
@@ -60,21 +60,21 @@
     while (aNow - mRecent.front() >= std::chrono::seconds{ 1 }) {
       mRecent.pop_front();
     }
-    most = std::max(most, mRecent.size());
+    maxPerSecond = std::max(maxPerSecond, mRecent.size());
   }
 
-  size_t most = 0;
+  size_t maxPerSecond = 0;
 
 private:
   std::deque<Instant> mRecent;
 };
 
-/// Callers that send 80 requests a second to one upstream, which answers within
-/// 40 ms, by way of one home at a time.
+/// Callers that send 80 requests per second to one upstream, which answers
+/// within 40 ms. One home entry at a time allocates its slots.
 class ColdUpstream : public ::testing::Test
 {
 protected:
-  void PassFor(Duration aTime, SlotBroker& aHome)
+  void RunFor(Duration aTime, SlotBroker& aHome)
   {
     for (const Instant end = now + aTime; now < end; now += milliseconds{ 5 }) {
       if (mRandom() % 100 < 40) {
@@ -84,13 +84,13 @@
         request.instance = keyed ? "a" : "";
         request.maxWait = milliseconds{ 300 };
         request.maxHold = milliseconds{ 1000 };
-        Take(aHome.Ask(request, now));
+        Take(aHome.Acquire(request, now));
       }
-      while (!mUnderWay.empty() && mUnderWay.front().first <= now) {
-        const SlotKey key = mUnderWay.front().second;
-        mUnderWay.pop_front();
-        Take(
-          aHome.Done(key, AttemptOutcome::Answered, milliseconds{ 40 }, now));
+      while (!mInFlight.empty() && mInFlight.front().first <= now) {
+        const SlotKey key = mInFlight.front().second;
+        mInFlight.pop_front();
+        Take(aHome.Release(
+          key, AttemptOutcome::Answered, milliseconds{ 40 }, now));
       }
       Take(aHome.Tick(now));
     }
@@ -102,7 +102,7 @@
       if (const auto* granted = std::get_if<SlotGranted>(&answer)) {
         arrivals.Add(now);
         ++served;
-        mUnderWay.emplace_back(now + milliseconds{ 40 }, granted->key);
+        mInFlight.emplace_back(now + milliseconds{ 40 }, granted->key);
       }
     }
   }
@@ -115,32 +115,32 @@
 private:
   std::mt19937_64 mRandom{ 7 };
   uint64_t mTicket = 0;
-  std::deque<std::pair<Instant, SlotKey>> mUnderWay;
+  std::deque<std::pair<Instant, SlotKey>> mInFlight;
 };
 
-TEST_F(ColdUpstream, GetsWhatItBearsAndThenAll)
+TEST_F(ColdUpstream, IsLimitedWhileColdAndUnlimitedAfterwards)
 {
   for (const bool withKeys : { false, true }) {
     keyed = withKeys;
     arrivals = {};
-    SlotBroker home(3, kOptionsOfHome);
+    SlotBroker home(3, kHomeOptions);
     home.Update(StateWithCold(keyed, kWarmUp.count()), now);
     served = 0;
-    PassFor(kWarmUp - milliseconds{ 50 }, home);
-    EXPECT_LE(static_cast<double>(arrivals.most), kBorne);
+    RunFor(kWarmUp - milliseconds{ 50 }, home);
+    EXPECT_LE(static_cast<double>(arrivals.maxPerSecond), kMaxColdRate);
     EXPECT_GE(served, 24U);
-    PassFor(std::chrono::seconds{ 2 }, home);
-    EXPECT_GT(static_cast<double>(arrivals.most), 2 * kBorne);
+    RunFor(std::chrono::seconds{ 2 }, home);
+    EXPECT_GT(static_cast<double>(arrivals.maxPerSecond), 2 * kMaxColdRate);
   }
 }
 
-// It runs at its usual rate and turns cold; its home learns of it a moment
-// later. What it was sent in the last second counts.
-TEST_F(ColdUpstream, CountsWhatItGotBeforeItWasKnownToBeCold)
+// An upstream runs at its usual rate and becomes cold; its home entry learns of
+// that a moment later. The requests of the last second must count.
+TEST_F(ColdUpstream, CountsRequestsSentBeforeItWasKnownToBeCold)
 {
-  SlotBroker home(3, kOptionsOfHome);
+  SlotBroker home(3, kHomeOptions);
   home.Update(StateWithCold(false, 0), now);
-  PassFor(std::chrono::seconds{ 2 }, home);
+  RunFor(std::chrono::seconds{ 2 }, home);
   State state = StateWithCold(false, 0);
   wire::GatewayCommand put;
   *put.mutable_put_instance()->mutable_instance() = *state.FindInstance("a");
@@ -148,50 +148,50 @@
   static_cast<void>(state.Apply(put, LogIndex{ 3 }));
   home.Update(state, now);
   served = 0;
-  PassFor(milliseconds{ 700 }, home);
+  RunFor(milliseconds{ 700 }, home);
   EXPECT_EQ(served, 0U);
   arrivals = {};
-  PassFor(milliseconds{ 2000 }, home);
-  EXPECT_LE(static_cast<double>(arrivals.most), kBorne);
+  RunFor(milliseconds{ 2000 }, home);
+  EXPECT_LE(static_cast<double>(arrivals.maxPerSecond), kMaxColdRate);
   EXPECT_GE(served, 12U);
 }
 
-// Its home is lost in mid-second, and another takes its place that knows
-// nothing of what it has sent.
-TEST_F(ColdUpstream, NextHomeWaitsUntilTheSecondOfTheLastOneIsOver)
+// The home entry is lost, and another one replaces it that does not know what
+// it has sent in the last second.
+TEST_F(ColdUpstream, NewHomeWaitsUntilTheLastSecondOfThePreviousOneIsOver)
 {
-  SlotBroker home(3, kOptionsOfHome);
+  SlotBroker home(3, kHomeOptions);
   home.Update(StateWithCold(true, kWarmUp.count()), now);
   keyed = true;
-  PassFor(milliseconds{ 1300 }, home);
-  SlotBroker next(4, kOptionsOfHome);
+  RunFor(milliseconds{ 1300 }, home);
+  SlotBroker next(4, kHomeOptions);
   next.Update(StateWithCold(true, kWarmUp.count()), now);
-  next.HoldOffCold({ "a" }, now);
-  PassFor(milliseconds{ 1600 }, next);
-  EXPECT_LE(static_cast<double>(arrivals.most), kBorne);
+  next.PauseCold({ "a" }, now);
+  RunFor(milliseconds{ 1600 }, next);
+  EXPECT_LE(static_cast<double>(arrivals.maxPerSecond), kMaxColdRate);
 }
 
-// A host that goes by itself does not know what others send.
-TEST_F(ColdUpstream, IsLeftAloneByHostsThatAreNotItsHome)
+// A host that sends uncoordinated does not know what others send.
+TEST_F(ColdUpstream, GetsNoUncoordinatedRequests)
 {
-  SlotBroker entry(3, kOptionsOfHome);
+  SlotBroker entry(3, kHomeOptions);
   entry.Update(StateWithCold(true, kWarmUp.count()), now);
   SlotRequest request;
   request.key = { 1, 1 };
   request.service = "desk";
   request.instance = "a";
-  request.alone = true;
-  request.cold = false;
+  request.uncoordinated = true;
+  request.mayUseCold = false;
   request.maxHold = milliseconds{ 500 };
-  for (const SlotAnswer& answer : entry.Ask(request, now)) {
+  for (const SlotAnswer& answer : entry.Acquire(request, now)) {
     EXPECT_FALSE(std::holds_alternative<SlotGranted>(answer));
   }
 }
 
-// An upstream tells of its cold spell with each heartbeat. The log carries it
-// once: hosts know when it ends, and a fleet that starts brings no second
-// command for each upstream. A second spell is told again.
-TEST(ColdInLog, IsToldOnceForASpell)
+// An upstream reports its cold period with each heartbeat. The log must contain
+// it once: hosts know when it ends, and a starting fleet must not cause a
+// second command for each upstream. A second cold period is logged again.
+TEST(ColdPeriod, IsLoggedOnce)
 {
   Leader leader;
   wire::GatewayCommand service;
@@ -203,7 +203,7 @@
   item->set_version(2);
   item->set_source("cold");
   leader.Commit({ service });
-  size_t told = 0;
+  size_t putCount = 0;
   Duration left = kWarmUp;
   for (uint64_t sequence = 1; sequence <= 9; ++sequence) {
     Heartbeat heartbeat = From("a", sequence);
@@ -211,13 +211,13 @@
     const auto commands =
       leader.granter->OnHeartbeat(heartbeat, leader.state, leader.now);
     for (const wire::GatewayCommand& command : commands) {
-      told += command.has_put_instance() ? 1 : 0;
+      putCount += command.has_put_instance() ? 1 : 0;
     }
     leader.Commit(commands);
     leader.Pass(kInterval / 2);
     left = std::max<Duration>(left - kInterval / 2, Duration::zero());
   }
-  EXPECT_EQ(told, 1U);
+  EXPECT_EQ(putCount, 1U);
   const uint64_t before = leader.state.FindInstance("a")->cold_index();
   Heartbeat again = From("a", 10);
   again.cold = kWarmUp;
--- a/src/librattandyke/gateway/direct_choice_test.cpp
+++ b/src/librattandyke/gateway/direct_choice_test.cpp
@@ -1,7 +1,7 @@
-// Entries that choose upstreams by themselves, by what these tell with their
-// answers, in simulated time: upstreams of different speeds share machines that
-// are slow by turns, each entry sees a part of the load, and what it was told
-// is as old as the answer that told it.
+// Entries that choose upstreams from load reports, without home entries, in
+// simulated time. Upstreams have different speeds and are slow at random times,
+// each entry sends a part of the requests, and a load report arrives with a
+// response.
 #include <algorithm>
 #include <deque>
 #include <map>
@@ -21,7 +21,7 @@
 constexpr size_t kUpstreams = 40;
 constexpr size_t kEntries = 40;
 constexpr uint32_t kSlots = 3;
-constexpr size_t kPlaces = 12;
+constexpr size_t kQueueCapacity = 12;
 constexpr milliseconds kObjective{ 500 };
 
 State
@@ -47,20 +47,20 @@
   return state;
 }
 
-/// A service under a steady load.
+/// Simulates a service under a steady load.
 class Service
 {
 public:
-  enum class Way
+  enum class Policy
   {
-    /// Any upstream.
-    Blind,
-    /// By what they tell.
-    Told,
+    /// A random upstream.
+    Random,
+    /// UpstreamSet::ChooseDirect.
+    LoadAware,
   };
 
-  explicit Service(Way aWay)
-    : mWay(aWay)
+  explicit Service(Policy aPolicy)
+    : mPolicy(aPolicy)
   {
     const State state = StateOf(kUpstreams);
     for (size_t at = 0; at < kEntries; ++at) {
@@ -75,29 +75,30 @@
     }
   }
 
-  /// @param aLoad part of what the upstreams can run that callers ask for.
-  /// @return part of the requests that were answered within the objective.
-  double InTime(double aLoad)
+  /// Runs the simulation for 20 s.
+  /// @param aLoad request rate as a fraction of the upstreams' capacity.
+  /// @return fraction of the requests that were answered within the objective.
+  double OnTimeFraction(double aLoad)
   {
     constexpr double kCapacity = kUpstreams * kSlots / 0.12 / 1.4;
     const double perStep = aLoad * kCapacity * 0.001;
     for (int step = 0; step < 20'000; ++step) {
       mNow += milliseconds{ 1 };
       if (step % 400 == 0) {
-        SlowMachines();
+        ChangeSlowdowns();
       }
-      const int came = std::poisson_distribution<int>(perStep)(mRandom);
-      for (int request = 0; request < came; ++request) {
+      const int arrivals = std::poisson_distribution<int>(perStep)(mRandom);
+      for (int request = 0; request < arrivals; ++request) {
         Send();
       }
       for (auto& [id, upstream] : mUpstreams) {
         Run(id, upstream);
       }
     }
-    return mInTime / mAsked;
+    return mOnTime / mRequested;
   }
 
-  size_t Lost() const { return mLost; }
+  size_t DroppedCount() const { return mDropped; }
 
 private:
   struct Request
@@ -105,30 +106,30 @@
     size_t entry = 0;
     Instant sent{};
     Instant done{};
-    UpstreamSet::Begun begun;
+    UpstreamSet::AttemptStart start;
   };
 
   struct Upstream
   {
     double speed = 1;
-    double pace = 1;
+    double slowdown = 1;
     std::vector<Request> running;
     std::deque<Request> waiting;
   };
 
-  void SlowMachines()
+  void ChangeSlowdowns()
   {
     for (auto& [id, upstream] : mUpstreams) {
-      upstream.pace = mRandom() % 5 == 0 ? 3 : 1;
+      upstream.slowdown = mRandom() % 5 == 0 ? 3 : 1;
     }
   }
 
   void Send()
   {
-    mAsked += 1;
+    mRequested += 1;
     const size_t entry = mRandom() % kEntries;
     std::string id = "i-" + std::to_string(mRandom() % kUpstreams);
-    if (mWay == Way::Told) {
+    if (mPolicy == Policy::LoadAware) {
       const auto outcome =
         mEntries[entry].ChooseDirect("desk", {}, kObjective, mNow);
       const auto* choice = std::get_if<UpstreamSet::Choice>(&outcome);
@@ -138,12 +139,12 @@
       id = choice->instance;
     }
     Upstream& upstream = mUpstreams.at(id);
-    const auto begun = mEntries[entry].Begin(id, mNow);
-    if (upstream.waiting.size() >= kPlaces) {
-      ++mLost;
+    const auto start = mEntries[entry].BeginAttempt(id, mNow);
+    if (upstream.waiting.size() >= kQueueCapacity) {
+      ++mDropped;
       return;
     }
-    upstream.waiting.push_back({ entry, mNow, {}, begun });
+    upstream.waiting.push_back({ entry, mNow, {}, start });
   }
 
   void Run(const std::string& aId, Upstream& aUpstream)
@@ -156,63 +157,65 @@
       const Request request = *at;
       at = aUpstream.running.erase(at);
       const Duration took = mNow - request.sent;
-      mInTime += took <= kObjective ? 1 : 0;
+      mOnTime += took <= kObjective ? 1 : 0;
       UpstreamSet& entry = mEntries[request.entry];
       entry.RecordLoadReport(aId,
                              { static_cast<uint32_t>(aUpstream.running.size()),
                                static_cast<uint32_t>(aUpstream.waiting.size()),
                                kSlots,
-                               aUpstream.pace },
+                               aUpstream.slowdown },
                              mNow);
-      entry.End(aId, AttemptOutcome::Answered, took, request.begun, mNow);
+      entry.EndAttempt(
+        aId, AttemptOutcome::Answered, took, request.start, mNow);
     }
     while (aUpstream.running.size() < kSlots && !aUpstream.waiting.empty()) {
       Request request = aUpstream.waiting.front();
       aUpstream.waiting.pop_front();
       const double seconds =
         std::lognormal_distribution<double>(-0.045, 0.3)(mRandom) * 0.12 /
-        aUpstream.speed * aUpstream.pace;
+        aUpstream.speed * aUpstream.slowdown;
       request.done = mNow + std::chrono::duration_cast<Duration>(
                               std::chrono::duration<double>(seconds));
       aUpstream.running.push_back(request);
     }
   }
 
-  const Way mWay;
+  const Policy mPolicy;
   std::mt19937_64 mRandom{ 11 };
   Instant mNow{ std::chrono::hours{ 1 } };
   std::deque<UpstreamSet> mEntries;
   std::map<std::string, Upstream> mUpstreams;
-  double mAsked = 0;
-  double mInTime = 0;
-  size_t mLost = 0;
+  double mRequested = 0;
+  double mOnTime = 0;
+  size_t mDropped = 0;
 };
 
-// Equal shares overload the slow upstreams long before the sum is full.
-TEST(DirectChoice, ServesMostRequestsInTimeAtTwoThirdsOfTheCapacity)
+// Equal shares overload the slow upstreams long before the total capacity is
+// reached.
+TEST(DirectChoice, AnswersMostRequestsOnTimeAtTwoThirdsOfTheCapacity)
 {
-  Service blind(Service::Way::Blind);
-  Service told(Service::Way::Told);
-  const double inTimeBlind = blind.InTime(0.66);
-  const double inTimeTold = told.InTime(0.66);
-  RecordProperty("blind", std::to_string(inTimeBlind));
-  RecordProperty("told", std::to_string(inTimeTold));
-  EXPECT_GT(inTimeTold, 0.9);
-  EXPECT_GT(inTimeTold, inTimeBlind);
-  EXPECT_LE(told.Lost(), blind.Lost() / 10);
+  Service random(Service::Policy::Random);
+  Service loadAware(Service::Policy::LoadAware);
+  const double onTimeRandom = random.OnTimeFraction(0.66);
+  const double onTimeLoadAware = loadAware.OnTimeFraction(0.66);
+  RecordProperty("random", std::to_string(onTimeRandom));
+  RecordProperty("loadAware", std::to_string(onTimeLoadAware));
+  EXPECT_GT(onTimeLoadAware, 0.9);
+  EXPECT_GT(onTimeLoadAware, onTimeRandom);
+  EXPECT_LE(loadAware.DroppedCount(), random.DroppedCount() / 10);
 }
 
-// More is asked for than can be run. Most of what can be run is answered in
-// time, and hardly any request finds no place at its upstream, which would
-// never answer it.
-TEST(DirectChoice, RefusesRatherThanOverrunsUpstreams)
+// Requests arrive at more than the capacity. Most of those that can be run are
+// answered on time, and hardly any is sent to an upstream whose queue is full,
+// which would never answer it.
+TEST(DirectChoice, RefusesRequestsUnderOverload)
 {
   constexpr double kLoad = 1.5;
-  Service blind(Service::Way::Blind);
-  Service told(Service::Way::Told);
-  static_cast<void>(blind.InTime(kLoad));
-  EXPECT_GT(told.InTime(kLoad), 0.8 / kLoad);
-  EXPECT_LE(told.Lost(), blind.Lost() / 50);
+  Service random(Service::Policy::Random);
+  Service loadAware(Service::Policy::LoadAware);
+  static_cast<void>(random.OnTimeFraction(kLoad));
+  EXPECT_GT(loadAware.OnTimeFraction(kLoad), 0.8 / kLoad);
+  EXPECT_LE(loadAware.DroppedCount(), random.DroppedCount() / 50);
 }
 
 } // namespace
--- a/src/librattandyke/gateway/evacuation_test.cpp
+++ b/src/librattandyke/gateway/evacuation_test.cpp
@@ -1,5 +1,5 @@
-// Evacuating a data centre: an order of the operator after which nothing new is
-// sent to its upstreams, until another order takes it back. On the state, an
+// Evacuation of a data centre: an operator starts it, and no new requests are
+// sent to the upstreams there until an operator ends it. Tests of the state, an
 // entry's choice and the leader's decisions, in simulated time.
 #include <algorithm>
 #include <map>
@@ -20,7 +20,7 @@
 constexpr milliseconds kWarmUp{ 3000 };
 
 wire::GatewayCommand
-Order(const std::string& aDataCentre, bool aEnds)
+EvacuationCommand(const std::string& aDataCentre, bool aEnds)
 {
   wire::GatewayCommand command;
   command.mutable_evacuate_data_centre()->set_data_centre(aDataCentre);
@@ -58,7 +58,7 @@
   return command;
 }
 
-/// An entry's view of the state.
+/// The state and upstreams as known to an entry host.
 class EntryView
 {
 public:
@@ -75,7 +75,7 @@
     set.Update(state, now);
   }
 
-  bool Finds(const std::string& aService)
+  bool CanChoose(const std::string& aService)
   {
     const auto outcome =
       set.Choose(aService, 0, {}, DataCentre{ "west" }, true, now);
@@ -88,45 +88,46 @@
   UpstreamSet set;
 };
 
-TEST(Evacuation, OrdersAreKeptWithTheState)
+TEST(Evacuation, IsSavedWithTheState)
 {
   State state;
-  ASSERT_TRUE(state.Apply(Order("west", false), LogIndex{ 1 }));
-  ASSERT_TRUE(state.Apply(Order("west", false), LogIndex{ 2 }));
-  ASSERT_TRUE(state.Apply(Order("east", true), LogIndex{ 3 }));
+  ASSERT_TRUE(state.Apply(EvacuationCommand("west", false), LogIndex{ 1 }));
+  ASSERT_TRUE(state.Apply(EvacuationCommand("west", false), LogIndex{ 2 }));
+  ASSERT_TRUE(state.Apply(EvacuationCommand("east", true), LogIndex{ 3 }));
   State loaded;
   loaded.Load(state.Save());
   EXPECT_TRUE(loaded.IsEvacuated("west"));
   EXPECT_FALSE(loaded.IsEvacuated("east"));
-  ASSERT_TRUE(loaded.Apply(Order("west", true), LogIndex{ 4 }));
+  ASSERT_TRUE(loaded.Apply(EvacuationCommand("west", true), LogIndex{ 4 }));
   EXPECT_FALSE(loaded.IsEvacuated("west"));
 }
 
-// A caller's request comes after the order. It must be run elsewhere, and where
-// nothing is left, be refused: it must not wait for an upstream that gets none.
-TEST(Evacuation, RequestsWithoutAKeyGoElsewhereAtOnce)
+// A request without a key arrives after the start of the evacuation. It must be
+// sent to another data centre, and be refused if none is left: it must not wait
+// for an upstream that gets no requests.
+TEST(Evacuation, RequestsWithoutAKeyUseOtherDataCentresAtOnce)
 {
   EntryView entry;
   entry.Apply(PutUpstream("a", "desk", "west"));
   entry.Apply(PutUpstream("b", "desk", "east"));
-  entry.Apply(Order("west", false));
+  entry.Apply(EvacuationCommand("west", false));
   for (int request = 0; request < 20; ++request) {
     const auto outcome =
       entry.set.Choose("desk", 0, {}, DataCentre{ "west" }, true, entry.now);
     EXPECT_EQ(std::get<UpstreamSet::Choice>(outcome).instance, "b");
   }
   EXPECT_EQ(entry.set.UsableAddress("a", entry.now), "");
-  entry.Apply(Order("east", false));
-  EXPECT_FALSE(entry.Finds("desk"));
+  entry.Apply(EvacuationCommand("east", false));
+  EXPECT_FALSE(entry.CanChoose("desk"));
   EXPECT_FALSE(entry.set.CanServe("desk"));
-  entry.Apply(Order("east", true));
-  EXPECT_TRUE(entry.Finds("desk"));
+  entry.Apply(EvacuationCommand("east", true));
+  EXPECT_TRUE(entry.CanChoose("desk"));
 }
 
-// The holder of a key stands in the data centre. Until its keys have another
-// holder it serves on, but the bound of the order holds also if they never
-// have.
-TEST(Evacuation, HolderOfKeysServesOnForAPartOfTheBound)
+// The owner of a key is in the evacuated data centre. It continues to serve the
+// key until that has another owner, but no longer than a part of the evacuation
+// timeout.
+TEST(Evacuation, OwnerServesItsKeysForPartOfTheTimeout)
 {
   EntryView entry;
   entry.Apply(PutUpstream("a", "board", "west"));
@@ -137,7 +138,7 @@
   wire::KeyRange* range = grant.mutable_grant_ranges()->add_ranges();
   range->set_to(kMaxKey);
   entry.Apply(grant);
-  entry.Apply(Order("west", false));
+  entry.Apply(EvacuationCommand("west", false));
   EXPECT_EQ(entry.set.OwnerOf(entry.state, "board", 7, entry.now), "a");
   entry.now += milliseconds{ kEvacuation } / 2;
   EXPECT_EQ(entry.set.OwnerOf(entry.state, "board", 7, entry.now), "");
@@ -145,15 +146,15 @@
   EXPECT_TRUE(std::holds_alternative<UpstreamSet::UnavailableReason>(outcome));
 }
 
-// Upstreams may have become cold before the end of the order, and tell so only
-// with their next heartbeats. Until then they are taken as cold.
-TEST(Evacuation, UpstreamsAreTakenAsColdAfterIt)
+// Upstreams may have become cold before the end of the evacuation, and report
+// it only with their next heartbeats. Until then they are assumed to be cold.
+TEST(Evacuation, UpstreamsAreAssumedColdAfterItsEnd)
 {
   EntryView entry;
   entry.Apply(PutUpstream("a", "desk", "west"));
   entry.Apply(PutUpstream("b", "desk", "east"));
-  entry.Apply(Order("west", false));
-  entry.Apply(Order("west", true));
+  entry.Apply(EvacuationCommand("west", false));
+  entry.Apply(EvacuationCommand("west", true));
   EXPECT_TRUE(entry.set.IsCold("a", entry.now));
   EXPECT_FALSE(entry.set.IsCold("b", entry.now));
   EXPECT_FALSE(entry.set.IsCold("a", entry.now + kWarmUp));
@@ -166,12 +167,13 @@
   {
     leader.Commit({ PutService("board", true) });
     for (uint64_t sequence = 1; sequence <= 8; ++sequence) {
-      Beat(sequence);
+      SendHeartbeats(sequence);
     }
   }
 
-  /// One heartbeat of each, which reports what was left out of its last answer.
-  void Beat(uint64_t aSequence)
+  /// Sends one heartbeat of each upstream, which reports the release of the
+  /// keys that its last answer left out.
+  void SendHeartbeats(uint64_t aSequence)
   {
     for (const char* id : { "a", "b", "c" }) {
       Heartbeat heartbeat = From(id, aSequence);
@@ -202,7 +204,7 @@
     }
   }
 
-  uint32_t KeysHeldBy(const std::string& aId) const
+  uint32_t KeysOwnedBy(const std::string& aId) const
   {
     uint32_t keys = 0;
     for (const auto& segment : leader.state.Ranges("board")->Segments()) {
@@ -216,40 +218,42 @@
   std::map<std::string, std::vector<KeySpan>> mReleased;
 };
 
-// The order comes: the holder there is left out of its own next answer,
-// releases, and the others take the keys with its handover, well within the
-// bound. After the order's end it is given keys again.
-TEST_F(EvacuatedKeys, AreHandedOverAndComeBack)
+// After the start of the evacuation, the answers to the owner there leave out
+// its keys; it releases them, and the other upstreams own them well within the
+// evacuation timeout.
+TEST_F(EvacuatedKeys, AreHandedOver)
 {
-  ASSERT_GT(KeysHeldBy("a"), 0U);
-  leader.Commit({ Order("west", false) });
+  ASSERT_GT(KeysOwnedBy("a"), 0U);
+  leader.Commit({ EvacuationCommand("west", false) });
   for (uint64_t sequence = 9; sequence <= 12; ++sequence) {
-    Beat(sequence);
+    SendHeartbeats(sequence);
   }
-  EXPECT_EQ(KeysHeldBy("a"), 0U);
-  EXPECT_EQ(KeysHeldBy("b") + KeysHeldBy("c"), kKeyCount);
+  EXPECT_EQ(KeysOwnedBy("a"), 0U);
+  EXPECT_EQ(KeysOwnedBy("b") + KeysOwnedBy("c"), kKeyCount);
 }
 
-// A leader is lost just after the order; its successor must go on with it.
-TEST_F(EvacuatedKeys, NextLeaderGoesOnWithTheOrder)
+// The leader is lost just after the start of the evacuation; its successor must
+// continue it.
+TEST_F(EvacuatedKeys, AreHandedOverAfterAFailover)
 {
-  leader.Commit({ Order("west", false) });
+  leader.Commit({ EvacuationCommand("west", false) });
   leader.Replace();
   for (uint64_t sequence = 9; sequence <= 13; ++sequence) {
-    Beat(sequence);
+    SendHeartbeats(sequence);
   }
-  EXPECT_EQ(KeysHeldBy("a"), 0U);
+  EXPECT_EQ(KeysOwnedBy("a"), 0U);
 }
 
-// Two orders that together leave nothing: the keys stay where they are, and no
-// holder is told to release them for nobody.
-TEST_F(EvacuatedKeys, StayIfNobodyElseCanHoldThem)
+// All data centres are evacuated. The keys stay where they are, and no owner is
+// made to release keys that no other upstream can own.
+TEST_F(EvacuatedKeys, StayIfNoOtherOwnerIsLeft)
 {
-  leader.Commit({ Order("west", false), Order("east", false) });
+  leader.Commit(
+    { EvacuationCommand("west", false), EvacuationCommand("east", false) });
   for (uint64_t sequence = 9; sequence <= 12; ++sequence) {
-    Beat(sequence);
+    SendHeartbeats(sequence);
   }
-  EXPECT_EQ(KeysHeldBy("a") + KeysHeldBy("b") + KeysHeldBy("c"), kKeyCount);
+  EXPECT_EQ(KeysOwnedBy("a") + KeysOwnedBy("b") + KeysOwnedBy("c"), kKeyCount);
 }
 
 } // namespace
--- a/src/librattandyke/gateway/key_load_map.cpp
+++ b/src/librattandyke/gateway/key_load_map.cpp
@@ -7,29 +7,30 @@
 
 namespace {
 
-/// The average reaches over the time in which this many requests come, and so
-/// many for each holder, within bounds: enough to tell one holder's share from
-/// another's, and no longer, as busy keys change within seconds. One number for
-/// all holders together would leave each of some hundred with a handful, and
-/// their shares would follow chance.
-constexpr double kLeastRequests = 250;
-constexpr double kRequestsPerHolder = 20;
-constexpr double kLeastMemory = 1.0;
-constexpr double kMostMemory = 4.0;
-/// Fewer requests than this say nothing of a rate: counting begins anew.
-constexpr double kNothing = 1.0;
-/// Reports come every 200 to 600 ms.
-constexpr double kLeastSeconds = 0.4;
-/// Share of the load that is spread over all keys alike.
-constexpr double kEvenShare = 0.1;
-constexpr double kLeastEvenLoad = 1.0;
+/// The time constant of the average, in seconds, is the time in which this many
+/// requests arrive, but at least kRequestsPerOwner for each owner, within the
+/// bounds below. That suffices to tell the owners' shares apart and follows hot
+/// keys, which change within seconds. A total that does not grow with the
+/// owners would leave each of some hundred owners a handful of requests, and
+/// their measured shares would be random.
+constexpr double kMinRequests = 250;
+constexpr double kRequestsPerOwner = 20;
+constexpr double kMinTimeConstant = 1.0;
+constexpr double kMaxTimeConstant = 4.0;
+/// Below this many requests no rate can be estimated: the window starts anew.
+constexpr double kNegligibleRequests = 1.0;
+/// Seconds. Load reports arrive every 200 to 600 ms.
+constexpr double kMinEffectiveSeconds = 0.4;
+/// Uniform load as a fraction of all requests, spread equally over all keys.
+constexpr double kUniformFraction = 0.1;
+constexpr double kMinUniformLoad = 1.0;
 constexpr uint32_t kBuckets = kKeyCount / kKeysPerBucket;
 
 } // namespace
 
 KeyLoadMap::KeyLoadMap()
   : mBuckets(kBuckets)
-  , mSums(kBuckets + 1)
+  , mPrefixSums(kBuckets + 1)
 {
 }
 
@@ -45,62 +46,65 @@
 }
 
 void
-KeyLoadMap::Decay(Instant aNow, size_t aHolders)
+KeyLoadMap::Decay(Instant aNow, size_t aOwners)
 {
   const std::chrono::duration<double> since = aNow - mDecayedAt;
   mDecayedAt = aNow;
-  // After a pause in the calls nothing is known of the time in between.
-  const double passed = std::clamp(since.count(), 0.0, kMostMemory);
-  const double rate = mSum / mSeconds;
-  const double remembered = std::max(
-    kLeastRequests, kRequestsPerHolder * static_cast<double>(aHolders));
-  const double memory =
-    std::clamp(remembered / std::max(rate, 1.0), kLeastMemory, kMostMemory);
-  const double factor = std::exp(-passed / memory);
+  // After a pause in the calls, the time in between has no counts.
+  const double elapsed = std::clamp(since.count(), 0.0, kMaxTimeConstant);
+  const double rate = mTotalRequests / mEffectiveSeconds;
+  const double wantedRequests =
+    std::max(kMinRequests, kRequestsPerOwner * static_cast<double>(aOwners));
+  const double timeConstant = std::clamp(
+    wantedRequests / std::max(rate, 1.0), kMinTimeConstant, kMaxTimeConstant);
+  const double factor = std::exp(-elapsed / timeConstant);
   for (float& bucket : mBuckets) {
     bucket *= static_cast<float>(factor);
   }
-  SumUp();
-  // Safeguard: taken as the whole memory from the beginning, the time over
-  // which the first requests are summed up would make them look like a tenth of
-  // what comes, and a holder that is overrun from the start like an idle one.
-  if (mSum < kNothing) {
-    mSeconds = kLeastSeconds;
+  UpdatePrefixSums();
+  // The window starts short and grows to the time constant. With the full time
+  // constant from the start, the first requests would seem to arrive at a tenth
+  // of their rate, and an owner that is overloaded from the start would seem
+  // idle.
+  if (mTotalRequests < kNegligibleRequests) {
+    mEffectiveSeconds = kMinEffectiveSeconds;
   } else {
-    mSeconds =
-      std::max(mSeconds * factor + memory * (1 - factor), kLeastSeconds);
+    mEffectiveSeconds =
+      std::max(mEffectiveSeconds * factor + timeConstant * (1 - factor),
+               kMinEffectiveSeconds);
   }
 }
 
 void
-KeyLoadMap::SumUp()
+KeyLoadMap::UpdatePrefixSums()
 {
   double sum = 0;
   for (uint32_t bucket = 0; bucket < kBuckets; ++bucket) {
-    mSums[bucket] = sum;
+    mPrefixSums[bucket] = sum;
     sum += mBuckets[bucket];
   }
-  mSums[kBuckets] = sum;
-  mSum = sum;
+  mPrefixSums[kBuckets] = sum;
+  mTotalRequests = sum;
 }
 
 double
-KeyLoadMap::PerBucket() const
+KeyLoadMap::UniformLoadPerBucket() const
 {
-  return std::max(mSum * kEvenShare, kLeastEvenLoad) / kBuckets;
+  return std::max(mTotalRequests * kUniformFraction, kMinUniformLoad) /
+         kBuckets;
 }
 
 double
 KeyLoadMap::BucketLoad(uint32_t aBucket) const
 {
-  return mBuckets[aBucket] + PerBucket();
+  return mBuckets[aBucket] + UniformLoadPerBucket();
 }
 
 double
-KeyLoadMap::Counted(KeySpan aKeys) const
+KeyLoadMap::DecayedRequests(KeySpan aKeys) const
 {
-  return mSums[aKeys.to / kKeysPerBucket + 1] -
-         mSums[aKeys.from / kKeysPerBucket];
+  return mPrefixSums[aKeys.to / kKeysPerBucket + 1] -
+         mPrefixSums[aKeys.from / kKeysPerBucket];
 }
 
 double
@@ -108,54 +112,54 @@
 {
   const uint32_t buckets =
     aKeys.to / kKeysPerBucket - aKeys.from / kKeysPerBucket + 1;
-  return Counted(aKeys) + PerBucket() * buckets;
+  return DecayedRequests(aKeys) + UniformLoadPerBucket() * buckets;
 }
 
 double
 KeyLoadMap::Rate(KeySpan aKeys) const
 {
-  return Counted(aKeys) / mSeconds;
+  return DecayedRequests(aKeys) / mEffectiveSeconds;
 }
 
 std::vector<KeySpan>
-KeyLoadMap::FindHotKeys(KeySpan aKeys, double aASecond) const
+KeyLoadMap::FindHotKeys(KeySpan aKeys, double aMinRate) const
 {
   const uint32_t last = aKeys.to / kKeysPerBucket;
-  std::vector<KeySpan> busy;
+  std::vector<KeySpan> hot;
   for (uint32_t bucket = aKeys.from / kKeysPerBucket; bucket <= last;
        ++bucket) {
     const KeySpan keys{ std::max(aKeys.from, bucket * kKeysPerBucket),
                         std::min(aKeys.to, (bucket + 1) * kKeysPerBucket - 1) };
-    if (Rate(keys) >= aASecond) {
-      busy.push_back(keys);
+    if (Rate(keys) >= aMinRate) {
+      hot.push_back(keys);
     }
   }
-  return busy;
+  return hot;
 }
 
 std::optional<KeySpan>
-KeyLoadMap::FindHotRun(KeySpan aKeys, double aLoad) const
+KeyLoadMap::FindHotRun(KeySpan aKeys, double aMaxLoad) const
 {
   const uint32_t first = (aKeys.from + kKeysPerBucket - 1) / kKeysPerBucket;
   const uint32_t end = (aKeys.to + 1) / kKeysPerBucket;
-  std::optional<uint32_t> busiest;
+  std::optional<uint32_t> hottest;
   for (uint32_t bucket = first; bucket < end; ++bucket) {
-    const bool fits = BucketLoad(bucket) <= aLoad;
-    if (fits && (!busiest || BucketLoad(bucket) > BucketLoad(*busiest))) {
-      busiest = bucket;
+    const bool fits = BucketLoad(bucket) <= aMaxLoad;
+    if (fits && (!hottest || BucketLoad(bucket) > BucketLoad(*hottest))) {
+      hottest = bucket;
     }
   }
-  if (!busiest) {
+  if (!hottest) {
     return std::nullopt;
   }
-  uint32_t low = *busiest;
-  uint32_t high = *busiest + 1;
+  uint32_t low = *hottest;
+  uint32_t high = *hottest + 1;
   double sum = BucketLoad(low);
-  // Safeguard: a neighbour that does not fit bounds the run on its side only.
-  // Beside a key that alone is too much, a run would else end with its first
-  // key, and the holder of that key could give nothing else away.
+  // A neighbour that does not fit ends the run on its side only. If it ended
+  // the run on both sides, a run beside a key that alone exceeds aMaxLoad would
+  // have one key, and the owner of that key could give nothing else away.
   const auto fits = [&](uint32_t aBucket) {
-    return sum + BucketLoad(aBucket) <= aLoad;
+    return sum + BucketLoad(aBucket) <= aMaxLoad;
   };
   for (;;) {
     const bool below = low > first && fits(low - 1);
@@ -175,16 +179,16 @@
 }
 
 KeySpan
-KeyLoadMap::PrefixWithin(KeySpan aKeys, double aLoad) const
+KeyLoadMap::PrefixWithin(KeySpan aKeys, double aMaxLoad) const
 {
   const uint32_t last = aKeys.to / kKeysPerBucket;
-  const double even = PerBucket();
+  const double uniform = UniformLoadPerBucket();
   double sum = 0;
   uint32_t bucket = aKeys.from / kKeysPerBucket;
   uint32_t end = bucket;
   for (; bucket <= last; ++bucket) {
-    sum += mBuckets[bucket] + even;
-    if (sum > aLoad && bucket != aKeys.from / kKeysPerBucket) {
+    sum += mBuckets[bucket] + uniform;
+    if (sum > aMaxLoad && bucket != aKeys.from / kKeysPerBucket) {
       break;
     }
     end = bucket;
--- a/src/librattandyke/gateway/key_load_map.h
+++ b/src/librattandyke/gateway/key_load_map.h
@@ -1,4 +1,4 @@
-/// How busy the keys of a service are.
+/// Request rates of the keys of a service.
 #pragma once
 
 #include <cstdint>
@@ -12,58 +12,63 @@
 
 namespace rattandyke::gateway {
 
-/// Keys counted together. Busy keys lie side by side, and each alone may keep
-/// an instance busy, so each has a count of its own: 65,536 floats, 256 KB a
-/// service, and twice that for their sums.
+/// Number of adjacent keys that share a request counter. Hot keys are often
+/// adjacent, and each may keep an instance busy by itself, so each key has its
+/// own counter: 65,536 floats, 256 KB per service, and twice that for the
+/// prefix sums.
 inline constexpr uint32_t kKeysPerBucket = 1;
 
-/// Requests a second of each key, as a moving average. Not thread-safe.
+/// Exponentially weighted moving averages of the request rate of each key of a
+/// service. Not thread-safe.
 class KeyLoadMap
 {
 public:
   KeyLoadMap();
 
-  /// Adds the requests of a report.
+  /// Adds the request counts of a report.
   void Add(const wire::RangeLoad& aLoad);
 
-  /// Lets earlier requests count less, and takes those added since the last
-  /// call into account. Call it several times a second.
-  /// @param aHolders instances among which the keys are shared out.
-  void Decay(Instant aNow, size_t aHolders);
+  /// Decays earlier requests and makes the requests added since the last call
+  /// visible to the queries below. Must be called several times per second.
+  /// @param aOwners number of instances that share the keys.
+  void Decay(Instant aNow, size_t aOwners);
 
-  /// @return load of the keys: their requests, and a little for each key, so
-  /// that keys without requests are spread, too.
+  /// @return the load of the keys: their decayed request count plus a small
+  /// uniform amount per key, so that keys without requests are distributed as
+  /// well.
   double LoadOf(KeySpan aKeys) const;
 
   double TotalLoad() const { return LoadOf({ 0, kMaxKey }); }
 
-  /// @return requests a second for the keys.
+  /// @return the request rate of the keys, in requests per second.
   double Rate(KeySpan aKeys) const;
 
-  /// @return the longest run of keys from the start of aKeys whose load is at
-  /// most aLoad; at least one bucket.
-  KeySpan PrefixWithin(KeySpan aKeys, double aLoad) const;
+  /// @return the longest span that starts at the first key of aKeys and has a
+  /// load of at most aMaxLoad; at least one bucket.
+  KeySpan PrefixWithin(KeySpan aKeys, double aMaxLoad) const;
 
-  /// @return a run of few keys within aKeys whose load is at most aLoad and
-  /// near it, around the busiest bucket that fits; nothing if none fits.
-  std::optional<KeySpan> FindHotRun(KeySpan aKeys, double aLoad) const;
+  /// @return a short span within aKeys with a load of at most aMaxLoad and
+  /// close to it, grown around the bucket with the highest load that fits;
+  /// nothing if no bucket fits.
+  std::optional<KeySpan> FindHotRun(KeySpan aKeys, double aMaxLoad) const;
 
-  /// @return the buckets within aKeys that each alone get so many requests a
-  /// second, or more.
-  std::vector<KeySpan> FindHotKeys(KeySpan aKeys, double aASecond) const;
+  /// @return each bucket within aKeys whose own request rate is at least
+  /// aMinRate requests per second.
+  std::vector<KeySpan> FindHotKeys(KeySpan aKeys, double aMinRate) const;
 
 private:
-  double Counted(KeySpan aKeys) const;
-  double PerBucket() const;
+  double DecayedRequests(KeySpan aKeys) const;
+  double UniformLoadPerBucket() const;
   double BucketLoad(uint32_t aBucket) const;
-  void SumUp();
+  void UpdatePrefixSums();
 
   std::vector<float> mBuckets;
-  /// Sum of the buckets before each one, as of the last Decay.
-  std::vector<double> mSums;
-  double mSum = 0;
-  /// Time over which the counts are summed, in effect.
-  double mSeconds = 1;
+  /// For each bucket, the sum of all buckets before it as of the last Decay.
+  std::vector<double> mPrefixSums;
+  double mTotalRequests = 0;
+  /// Length of the time window to which the decayed counts correspond: a rate
+  /// is the decayed count divided by this.
+  double mEffectiveSeconds = 1;
   Instant mDecayedAt{};
 };
 
--- a/src/librattandyke/gateway/key_load_map_test.cpp
+++ b/src/librattandyke/gateway/key_load_map_test.cpp
@@ -11,48 +11,49 @@
 using std::chrono::milliseconds;
 
 constexpr Duration kTick = milliseconds{ 100 };
-constexpr size_t kHolders = 12;
+constexpr size_t kOwners = 12;
 
 class KeyLoadMapTest : public ::testing::Test
 {
 protected:
-  /// Requests for one key at a steady rate, in reports of 200 ms.
-  void Come(uint32_t aKey, double aASecond, Duration aFor)
+  /// Adds requests for one key at a steady rate, in reports of 200 ms.
+  void AddRequests(uint32_t aKey, double aRequestsPerSecond, Duration aFor)
   {
     const Instant end = now + aFor;
     while (now < end) {
       now += kTick;
-      due += aASecond / 10;
+      unreported += aRequestsPerSecond / 10;
       if (++ticks % 2 == 0) {
         wire::RangeLoad load;
         load.add_buckets(aKey);
-        load.add_requests(static_cast<uint32_t>(due));
-        due -= static_cast<uint32_t>(due);
+        load.add_requests(static_cast<uint32_t>(unreported));
+        unreported -= static_cast<uint32_t>(unreported);
         map.Add(load);
       }
-      map.Decay(now, kHolders);
+      map.Decay(now, kOwners);
     }
   }
 
   Instant now{ std::chrono::hours{ 1 } };
   KeyLoadMap map;
-  double due = 0;
+  double unreported = 0;
   int ticks = 0;
 };
 
-// Four hundred holders have equal shares of 2,600 requests a second, which come
-// at random. The load that is seen of each must not stray from its share by
-// more than twenty requests do by chance, or keys are moved for nothing, and
-// are without an owner meanwhile.
-TEST_F(KeyLoadMapTest, SharesOfManyHoldersAreToldApart)
+// Four hundred owners have equal shares of 2,600 requests per second with
+// random arrivals. The deviation of the measured shares must not exceed the
+// random deviation of twenty requests. Otherwise keys are moved without need
+// and have no owner during the move.
+TEST_F(KeyLoadMapTest, SharesOfManyOwnersAreAccurate)
 {
-  constexpr size_t kMany = 400;
-  constexpr uint32_t kKeys = kKeyCount / kMany;
-  constexpr double kATick = 260;
-  const double mostDeviation = 1 / std::sqrt(20.0);
+  constexpr size_t kManyOwners = 400;
+  constexpr uint32_t kKeysPerOwner = kKeyCount / kManyOwners;
+  constexpr double kRequestsPerTick = 260;
+  const double maxDeviation = 1 / std::sqrt(20.0);
   std::mt19937 random(20261203); // NOLINT(cert-msc32-c,cert-msc51-cpp)
-  std::poisson_distribution<int> requests(kATick);
-  std::uniform_int_distribution<uint32_t> key(0, kKeys * kMany - 1);
+  std::poisson_distribution<int> requests(kRequestsPerTick);
+  std::uniform_int_distribution<uint32_t> key(0,
+                                              kKeysPerOwner * kManyOwners - 1);
   for (int tick = 0; tick < 150; ++tick) {
     now += kTick;
     wire::RangeLoad load;
@@ -61,65 +62,68 @@
       load.add_requests(1);
     }
     map.Add(load);
-    map.Decay(now, kMany);
+    map.Decay(now, kManyOwners);
   }
-  const double mean = map.LoadOf({ 0, kKeys * kMany - 1 }) / kMany;
+  const double mean =
+    map.LoadOf({ 0, kKeysPerOwner * kManyOwners - 1 }) / kManyOwners;
   double squares = 0;
-  for (uint32_t holder = 0; holder < kMany; ++holder) {
+  for (uint32_t owner = 0; owner < kManyOwners; ++owner) {
     const double share =
-      map.LoadOf({ holder * kKeys, (holder + 1) * kKeys - 1 }) / mean - 1;
+      map.LoadOf({ owner * kKeysPerOwner, (owner + 1) * kKeysPerOwner - 1 }) /
+        mean -
+      1;
     squares += share * share;
   }
-  EXPECT_LE(std::sqrt(squares / kMany), mostDeviation);
+  EXPECT_LE(std::sqrt(squares / kManyOwners), maxDeviation);
 }
 
-// A key is busy from the first request on. Its holder is overrun, and must not
-// look like an idle one because the first requests are divided by the whole
-// time of the average: keys are moved only from holders that are busy.
-TEST_F(KeyLoadMapTest, FirstRequestsAreNotDiluted)
+// A key is hot from the first request on and overloads its owner. If the first
+// requests were divided by the full time constant, the owner would seem idle,
+// and keys are moved only from loaded owners.
+TEST_F(KeyLoadMapTest, RateOfFirstRequestsIsNotUnderestimated)
 {
-  Come(7, 200, milliseconds{ 800 });
+  AddRequests(7, 200, milliseconds{ 800 });
   EXPECT_GT(map.Rate({ 7, 7 }), 140);
   EXPECT_LT(map.Rate({ 7, 7 }), 260);
 }
 
-TEST_F(KeyLoadMapTest, RateIsThatOfTheRequests)
+TEST_F(KeyLoadMapTest, RateFollowsTheRequests)
 {
-  Come(7, 200, std::chrono::seconds{ 6 });
+  AddRequests(7, 200, std::chrono::seconds{ 6 });
   EXPECT_NEAR(map.Rate({ 7, 7 }), 200, 30);
-  Come(7, 40, std::chrono::seconds{ 20 });
+  AddRequests(7, 40, std::chrono::seconds{ 20 });
   EXPECT_NEAR(map.Rate({ 7, 7 }), 40, 10);
 }
 
-// Nothing comes for a while, then a key is busy at once: the silence before is
-// not a part of its average.
-TEST_F(KeyLoadMapTest, LoadAfterASilenceIsNotDiluted)
+// After a minute without requests a key suddenly becomes hot. The idle period
+// must not lower its average.
+TEST_F(KeyLoadMapTest, RateAfterIdlePeriodIsNotUnderestimated)
 {
-  Come(7, 200, std::chrono::seconds{ 3 });
-  Come(7, 0, std::chrono::seconds{ 60 });
+  AddRequests(7, 200, std::chrono::seconds{ 3 });
+  AddRequests(7, 0, std::chrono::seconds{ 60 });
   EXPECT_LT(map.Rate({ 0, kMaxKey }), 1);
-  Come(9, 200, milliseconds{ 800 });
+  AddRequests(9, 200, milliseconds{ 800 });
   EXPECT_GT(map.Rate({ 9, 9 }), 140);
 }
 
-// A holder must know which of its keys overrun it alone, and not count one that
-// lies beside its range.
-TEST_F(KeyLoadMapTest, BusyKeysAreThoseOfTheRangeThatAreBusyAlone)
+// FindHotKeys must return the keys within the range that reach the rate by
+// themselves, and no key beside the range.
+TEST_F(KeyLoadMapTest, HotKeysReachTheRateWithinTheRange)
 {
-  Come(1000, 200, std::chrono::seconds{ 3 });
-  const auto busy = map.FindHotKeys({ 900, 1000 }, 150);
-  ASSERT_EQ(busy.size(), 1U);
-  EXPECT_EQ(busy.front().from, 1000U);
-  EXPECT_EQ(busy.front().to, 1000U);
+  AddRequests(1000, 200, std::chrono::seconds{ 3 });
+  const auto hot = map.FindHotKeys({ 900, 1000 }, 150);
+  ASSERT_EQ(hot.size(), 1U);
+  EXPECT_EQ(hot.front().from, 1000U);
+  EXPECT_EQ(hot.front().to, 1000U);
   EXPECT_TRUE(map.FindHotKeys({ 900, 1000 }, 250).empty());
   EXPECT_TRUE(map.FindHotKeys({ 1001, 2000 }, 150).empty());
 }
 
-// One key is more than its holder can take. The holder is to give its other
-// keys away in runs that are worth a move, also those beside that key.
-TEST_F(KeyLoadMapTest, RunBesideAKeyThatIsTooMuchGoesOnAwayFromIt)
+// One key exceeds the load allowed for a run. The owner's other keys must still
+// form runs that are long enough to move, including those beside that key.
+TEST_F(KeyLoadMapTest, HotRunExtendsAwayFromKeyThatDoesNotFit)
 {
-  Come(1000, 200, std::chrono::seconds{ 3 });
+  AddRequests(1000, 200, std::chrono::seconds{ 3 });
   const auto run =
     map.FindHotRun({ 1000, 9000 }, map.LoadOf({ 1000, 1000 }) / 2);
   ASSERT_TRUE(run);
--- a/src/librattandyke/gateway/load_report.h
+++ b/src/librattandyke/gateway/load_report.h
@@ -1,17 +1,22 @@
-/// What upstreams tell of their load.
+/// Load reports of upstreams.
 #pragma once
 
 #include <cstdint>
 
 namespace rattandyke::gateway {
 
-/// What an upstream tells of itself with an answer; as old as the answer.
+/// Load that an upstream reports in a header of its answer. Valid for the
+/// moment at which the upstream sent the answer.
 struct LoadReport
 {
+  /// Requests that the upstream runs.
   uint32_t running = 0;
+  /// Requests that wait at the upstream for a slot.
   uint32_t waiting = 0;
+  /// Requests that the upstream can run at the same time.
   uint32_t slots = 1;
-  /// How long work takes on its machine at this moment; 1: as usual.
+  /// Current service time on the upstream's machine relative to the usual one;
+  /// 1: as usual, 2: twice as long.
   double slowdown = 1;
 };
 
--- a/src/librattandyke/gateway/slot_broker.cpp
+++ b/src/librattandyke/gateway/slot_broker.cpp
@@ -12,42 +12,46 @@
 
 using std::chrono::milliseconds;
 
-/// A slot whose return was lost is free again this long after its request must
-/// have ended.
-constexpr milliseconds kLostReturn{ 400 };
-/// A request is refused at once if it would have to wait this many times its
-/// patience: it would only come back later.
-constexpr double kHopeless = 1.3;
-/// Of an answer to its caller, through an entry host with a tenth of a core.
-constexpr milliseconds kWayBack{ 20 };
-/// Part of its patience for which a request waits even for a slow upstream: its
-/// time there is an average, and many take less.
-constexpr double kLeastPatience = 0.25;
-/// A late answer is of less use than one in time, and of more than none. A
-/// request is kept for one only if it is expected to start within this part of
-/// the time in which it can: held to the end in vain, its caller could not come
-/// back.
-constexpr double kSureOfLate = 0.35;
-/// Least part of an upstream's rate that is taken as left for late requests.
-constexpr double kLeastLeft = 0.05;
-/// Seconds over which the demand for an upstream is averaged: some tens of
-/// requests, and less than a busy key lasts.
-constexpr double kDemandMemory = 0.7;
-constexpr std::chrono::seconds kDemandForgotten{ 10 };
-/// Seconds; longer waits are all alike.
-constexpr double kLongestWait = 3600;
-constexpr milliseconds kLeastRetryAfter{ 60 };
-constexpr milliseconds kMostRetryAfter{ 1000 };
+/// A slot whose release message was lost is freed this long after the longest
+/// hold time of its request.
+constexpr milliseconds kLostReleaseGrace{ 400 };
+/// A request is refused at once if its expected wait exceeds this multiple of
+/// its longest wait: it would only be refused later.
+constexpr double kMaxWaitFactor = 1.3;
+/// Time for an answer to reach its caller through an entry host with a tenth of
+/// a core.
+constexpr milliseconds kReturnTime{ 20 };
+/// Fraction of its longest wait for which a request waits even for a slow
+/// upstream: the expected response time is an average, and many responses are
+/// faster.
+constexpr double kMinWaitFraction = 0.25;
+/// A late answer is worth less than one within the latency objective, and more
+/// than none. A request waits for a late answer only if it is expected to start
+/// within this fraction of the time left for that: a caller that is refused at
+/// the end of that time cannot retry.
+constexpr double kMaxLateWaitFraction = 0.35;
+/// Minimum fraction of an upstream's capacity that is assumed to be left for
+/// late requests.
+constexpr double kMinSpareFraction = 0.05;
+/// Time constant of the decayed demand for an upstream, in seconds: it covers
+/// some tens of requests and is shorter than the time for which a key is hot.
+constexpr double kDemandTimeConstant = 0.7;
+constexpr std::chrono::seconds kDemandRetention{ 10 };
+/// Upper bound of an expected wait, in seconds.
+constexpr double kMaxWaitSeconds = 3600;
+constexpr milliseconds kMinRetryAfter{ 60 };
+constexpr milliseconds kMaxRetryAfter{ 1000 };
 constexpr milliseconds kNoUpstreamRetryAfter{ 400 };
 
-/// @return the time until a request starts behind others, of which so many
-/// start a second.
+/// @return the expected wait of a request behind aQueuedAhead others, of which
+/// aRequestsPerSecond start per second.
 Duration
-TurnAfter(size_t aAhead, double aRate)
+QueueWait(size_t aQueuedAhead, double aRequestsPerSecond)
 {
-  const double seconds = static_cast<double>(aAhead + 1) / aRate;
+  const double seconds =
+    static_cast<double>(aQueuedAhead + 1) / aRequestsPerSecond;
   return std::chrono::duration_cast<Duration>(
-    std::chrono::duration<double>(std::min(seconds, kLongestWait)));
+    std::chrono::duration<double>(std::min(seconds, kMaxWaitSeconds)));
 }
 
 } // namespace
@@ -58,9 +62,9 @@
 }
 
 std::vector<SlotAnswer>
-SlotBroker::TakeAnswers()
+SlotBroker::TakePendingAnswers()
 {
-  return std::exchange(mAnswers, {});
+  return std::exchange(mPendingAnswers, {});
 }
 
 std::vector<SlotAnswer>
@@ -68,9 +72,9 @@
 {
   mUpstreams.Update(aState, aNow);
   for (const auto& [service, queue] : mQueues) {
-    Serve(service, aNow);
+    GrantQueued(service, aNow);
   }
-  return TakeAnswers();
+  return TakePendingAnswers();
 }
 
 std::vector<SlotAnswer>
@@ -81,37 +85,39 @@
   const std::string before = mUpstreams.ServiceOf(aInstance);
   mUpstreams.Update(aState, aInstance, aNow);
   const std::string after = mUpstreams.ServiceOf(aInstance);
-  Serve(after, aNow);
+  GrantQueued(after, aNow);
   if (before != after) {
-    Serve(before, aNow);
+    GrantQueued(before, aNow);
   }
-  return TakeAnswers();
+  return TakePendingAnswers();
 }
 
 UpstreamSet::Outcome
 SlotBroker::Choose(const SlotRequest& aRequest, Instant aNow)
 {
   if (aRequest.direct) {
-    // One that can't be in time any more is sent as long as it can be answered.
-    const bool late = aRequest.timeToObjective <= Duration(kWayBack);
+    // A request that can no longer meet its latency objective is sent as long
+    // as it can be answered.
+    const bool late = aRequest.timeToObjective <= Duration(kReturnTime);
     return mUpstreams.ChooseDirect(aRequest.service,
                                    aRequest.excluded,
                                    late ? aRequest.maxHold
                                         : aRequest.timeToObjective,
                                    aNow);
   }
-  if (!aRequest.cold && mUpstreams.IsCold(aRequest.instance, aNow)) {
+  if (!aRequest.mayUseCold && mUpstreams.IsCold(aRequest.instance, aNow)) {
     return UpstreamSet::UnavailableReason::Full;
   }
   if (!aRequest.instance.empty()) {
-    return aRequest.alone ? mUpstreams.ChooseOneAlone(aRequest.instance, aNow)
-                          : mUpstreams.ChooseOne(aRequest.instance, aNow);
+    return aRequest.uncoordinated
+             ? mUpstreams.ChooseOneUncoordinated(aRequest.instance, aNow)
+             : mUpstreams.ChooseOne(aRequest.instance, aNow);
   }
   return mUpstreams.Choose(aRequest.service,
                            aRequest.group,
                            aRequest.excluded,
                            aRequest.dataCentre,
-                           aRequest.cold,
+                           aRequest.mayUseCold,
                            aNow);
 }
 
@@ -120,29 +126,32 @@
                   const UpstreamSet::Choice& aChoice,
                   Instant aNow)
 {
-  const UpstreamSet::Begun begun = mUpstreams.Begin(aChoice.instance, aNow);
-  mRunning[aRequest.key] = { aChoice.instance,
-                             aNow + aRequest.maxHold + Duration(kLostReturn),
-                             begun };
-  mAnswers.emplace_back(
+  const UpstreamSet::AttemptStart start =
+    mUpstreams.BeginAttempt(aChoice.instance, aNow);
+  mGranted[aRequest.key] = { aChoice.instance,
+                             aNow + aRequest.maxHold +
+                               Duration(kLostReleaseGrace),
+                             start };
+  mPendingAnswers.emplace_back(
     SlotGranted{ aRequest.key, aChoice.instance, aChoice.address });
 }
 
 void
 SlotBroker::Refuse(const SlotRequest& aRequest,
-                   UpstreamSet::UnavailableReason aHindrance,
+                   UpstreamSet::UnavailableReason aReason,
                    Duration aRetryAfter)
 {
-  mAnswers.emplace_back(SlotRefused{ aRequest.key, aHindrance, aRetryAfter });
+  mPendingAnswers.emplace_back(
+    SlotRefused{ aRequest.key, aReason, aRetryAfter });
 }
 
-/// Its caller is to come back when it would have its turn.
+/// Refuses a request and tells its caller to retry after the expected wait.
 void
-SlotBroker::RefuseAsFull(const SlotRequest& aRequest, Duration aWait)
+SlotBroker::RefuseFull(const SlotRequest& aRequest, Duration aWait)
 {
   Refuse(aRequest,
          UpstreamSet::UnavailableReason::Full,
-         std::clamp<Duration>(aWait, kLeastRetryAfter, kMostRetryAfter));
+         std::clamp<Duration>(aWait, kMinRetryAfter, kMaxRetryAfter));
 }
 
 SlotBroker::Target
@@ -152,90 +161,92 @@
 }
 
 Duration
-SlotBroker::AnswerTime(const SlotRequest& aRequest) const
+SlotBroker::ExpectedResponseTime(const SlotRequest& aRequest) const
 {
   const double seconds =
     aRequest.instance.empty()
-      ? mUpstreams.SecondsOf(aRequest.service, aRequest.group)
-      : mUpstreams.SecondsOfOne(aRequest.instance);
+      ? mUpstreams.ResponseSecondsOf(aRequest.service, aRequest.group)
+      : mUpstreams.ResponseSecondsOfInstance(aRequest.instance);
   return std::chrono::duration_cast<Duration>(
            std::chrono::duration<double>(seconds)) +
-         Duration(kWayBack);
+         Duration(kReturnTime);
 }
 
-/// Safeguard: a request that waits until its answer can only be late takes a
-/// slot, under load, from one whose answer would be in time; a busy upstream
-/// that is slow then answers nobody in time. So it waits in front no longer
-/// than leaves room for the answer, and behind those that can be in time after
-/// that.
+/// @return the time for which a request waits ahead of late requests: as long
+/// as its answer can meet the latency objective. After that it waits behind the
+/// requests that can. If it kept its place, a request whose answer can only be
+/// late would take a slot from one whose answer would be on time, and an
+/// overloaded slow upstream would answer no request on time.
 Duration
-SlotBroker::PatienceOf(const SlotRequest& aRequest) const
+SlotBroker::MaxOnTimeWait(const SlotRequest& aRequest) const
 {
   if (aRequest.timeToObjective <= Duration::zero()) {
     return aRequest.maxWait;
   }
-  return std::clamp(aRequest.timeToObjective - AnswerTime(aRequest),
-                    Scaled(aRequest.maxWait, kLeastPatience),
+  return std::clamp(aRequest.timeToObjective - ExpectedResponseTime(aRequest),
+                    Scaled(aRequest.maxWait, kMinWaitFraction),
                     aRequest.maxWait);
 }
 
-/// @return the time for which it may wait if its answer may be late.
+/// @return the time for which a request may wait if its answer may miss the
+/// latency objective, but not the deadline.
 Duration
-SlotBroker::LatestStart(const SlotRequest& aRequest) const
+SlotBroker::MaxLateWait(const SlotRequest& aRequest) const
 {
-  return std::max(aRequest.maxHold - AnswerTime(aRequest), Duration::zero());
+  return std::max(aRequest.maxHold - ExpectedResponseTime(aRequest),
+                  Duration::zero());
 }
 
 double
-SlotBroker::RateFor(const SlotRequest& aRequest) const
+SlotBroker::CapacityFor(const SlotRequest& aRequest) const
 {
   return aRequest.instance.empty()
-           ? mUpstreams.RateOf(aRequest.service, aRequest.group)
-           : mUpstreams.RateOfOne(aRequest.instance);
+           ? mUpstreams.CapacityOf(aRequest.service, aRequest.group)
+           : mUpstreams.CapacityOfInstance(aRequest.instance);
 }
 
 size_t
-SlotBroker::Ahead(const SlotRequest& aRequest, bool aLate) const
+SlotBroker::QueuedAhead(const SlotRequest& aRequest, bool aLate) const
 {
   const auto queue = mQueues.find(aRequest.service);
   if (queue == mQueues.end()) {
     return 0;
   }
   const Target target = TargetOf(aRequest);
-  const auto end =
-    queue->second.lower_bound(Place{ aRequest.priority, aLate, UINT64_MAX });
+  const auto end = queue->second.lower_bound(
+    QueuePosition{ aRequest.priority, aLate, UINT64_MAX });
   return static_cast<size_t>(
-    std::count_if(queue->second.begin(), end, [&](const auto& aWaiting) {
-      return TargetOf(aWaiting.second.request) == target;
+    std::count_if(queue->second.begin(), end, [&](const auto& aQueued) {
+      return TargetOf(aQueued.second.request) == target;
     }));
 }
 
 Duration
 SlotBroker::ExpectedWait(const SlotRequest& aRequest) const
 {
-  return TurnAfter(Ahead(aRequest, false), RateFor(aRequest));
+  return QueueWait(QueuedAhead(aRequest, false), CapacityFor(aRequest));
 }
 
-/// Those whose answers may be in time go first, so that one that is late gets
-/// what they leave.
+/// @return the expected wait of a late request. Late requests get the capacity
+/// that requests whose answers may be on time leave.
 Duration
 SlotBroker::ExpectedLateWait(const SlotRequest& aRequest, Instant aNow) const
 {
-  const double rate = RateFor(aRequest);
-  const double left =
-    std::max(rate - DemandFor(aRequest, aNow), rate * kLeastLeft);
-  return TurnAfter(Ahead(aRequest, true), left);
+  const double capacity = CapacityFor(aRequest);
+  const double spareCapacity = std::max(capacity - DemandRate(aRequest, aNow),
+                                        capacity * kMinSpareFraction);
+  return QueueWait(QueuedAhead(aRequest, true), spareCapacity);
 }
 
 double
 SlotBroker::Demand::RequestsAt(Instant aNow) const
 {
-  const std::chrono::duration<double> passed = aNow - at;
-  return requests * std::exp(-passed.count() / kDemandMemory);
+  const std::chrono::duration<double> elapsed = aNow - at;
+  return requests * std::exp(-elapsed.count() / kDemandTimeConstant);
 }
 
 void
-SlotBroker::NoteDemand(const SlotRequest& aRequest, Instant aNow)
+SlotBroker::RecordDemand(const SlotRequest& aRequest, Instant aNow)
 {
   Demand& demand = mDemand[TargetOf(aRequest)];
   demand.requests = demand.RequestsAt(aNow) + 1;
@@ -243,58 +254,60 @@
 }
 
 double
-SlotBroker::DemandFor(const SlotRequest& aRequest, Instant aNow) const
+SlotBroker::DemandRate(const SlotRequest& aRequest, Instant aNow) const
 {
   const auto found = mDemand.find(TargetOf(aRequest));
   if (found == mDemand.end()) {
     return 0;
   }
-  return found->second.RequestsAt(aNow) / kDemandMemory;
+  return found->second.RequestsAt(aNow) / kDemandTimeConstant;
 }
 
 void
 SlotBroker::Enqueue(const SlotRequest& aRequest, bool aLate, Instant aNow)
 {
-  const Instant lateUntil = aNow + LatestStart(aRequest);
-  const Instant until = aLate ? lateUntil : aNow + PatienceOf(aRequest);
+  const Instant lateWaitUntil = aNow + MaxLateWait(aRequest);
+  const Instant waitUntil =
+    aLate ? lateWaitUntil : aNow + MaxOnTimeWait(aRequest);
   mQueues[aRequest.service].emplace(
-    Place{ aRequest.priority, aLate, ++mArrivals },
-    QueuedRequest{ aRequest, until, lateUntil });
+    QueuePosition{ aRequest.priority, aLate, ++mArrivals },
+    QueuedRequest{ aRequest, waitUntil, lateWaitUntil });
 }
 
 std::vector<SlotAnswer>
-SlotBroker::Ask(const SlotRequest& aRequest, Instant aNow)
+SlotBroker::Acquire(const SlotRequest& aRequest, Instant aNow)
 {
-  NoteDemand(aRequest, aNow);
+  RecordDemand(aRequest, aNow);
   const UpstreamSet::Outcome outcome = Choose(aRequest, aNow);
   if (const auto* choice = std::get_if<UpstreamSet::Choice>(&outcome)) {
     Grant(aRequest, *choice, aNow);
-    return TakeAnswers();
+    return TakePendingAnswers();
   }
   const auto reason = std::get<UpstreamSet::UnavailableReason>(outcome);
   if (reason != UpstreamSet::UnavailableReason::Full) {
     Refuse(aRequest, reason, kNoUpstreamRetryAfter);
-    return TakeAnswers();
+    return TakePendingAnswers();
   }
   if (aRequest.direct) {
-    RefuseAsFull(aRequest, mUpstreams.DirectWait(aRequest.service, aNow));
-    return TakeAnswers();
+    RefuseFull(aRequest, mUpstreams.ExpectedDirectWait(aRequest.service, aNow));
+    return TakePendingAnswers();
   }
   const Duration wait = ExpectedWait(aRequest);
-  const bool inTime = wait <= Scaled(PatienceOf(aRequest), kHopeless);
-  const bool late = !inTime && ExpectedLateWait(aRequest, aNow) <=
-                                 Scaled(LatestStart(aRequest), kSureOfLate);
-  if (!inTime && !late) {
-    RefuseAsFull(aRequest, wait);
-    return TakeAnswers();
+  const bool onTime = wait <= Scaled(MaxOnTimeWait(aRequest), kMaxWaitFactor);
+  const bool late =
+    !onTime && ExpectedLateWait(aRequest, aNow) <=
+                 Scaled(MaxLateWait(aRequest), kMaxLateWaitFraction);
+  if (!onTime && !late) {
+    RefuseFull(aRequest, wait);
+    return TakePendingAnswers();
   }
   Enqueue(aRequest, late, aNow);
-  mAnswers.emplace_back(SlotQueued{ aRequest.key });
-  return TakeAnswers();
+  mPendingAnswers.emplace_back(SlotQueued{ aRequest.key });
+  return TakePendingAnswers();
 }
 
 void
-SlotBroker::Serve(const std::string& aService, Instant aNow)
+SlotBroker::GrantQueued(const std::string& aService, Instant aNow)
 {
   const auto found = mQueues.find(aService);
   if (found == mQueues.end()) {
@@ -319,66 +332,67 @@
 }
 
 std::vector<SlotAnswer>
-SlotBroker::Done(const SlotKey& aKey,
-                 AttemptOutcome aEnd,
-                 Duration aTook,
-                 Instant aNow)
+SlotBroker::Release(const SlotKey& aKey,
+                    AttemptOutcome aOutcome,
+                    Duration aElapsed,
+                    Instant aNow)
 {
-  const auto found = mRunning.find(aKey);
-  if (found != mRunning.end()) {
-    const auto [instance, ends, begun] = found->second;
-    mRunning.erase(found);
-    mUpstreams.End(instance, aEnd, aTook, begun, aNow);
-    Serve(mUpstreams.ServiceOf(instance), aNow);
-    return TakeAnswers();
+  const auto found = mGranted.find(aKey);
+  if (found != mGranted.end()) {
+    const auto [instance, expiresAt, start] = found->second;
+    mGranted.erase(found);
+    mUpstreams.EndAttempt(instance, aOutcome, aElapsed, start, aNow);
+    GrantQueued(mUpstreams.ServiceOf(instance), aNow);
+    return TakePendingAnswers();
   }
   for (auto& [service, queue] : mQueues) {
     for (auto at = queue.begin(); at != queue.end(); ++at) {
       if (at->second.request.key == aKey) {
         queue.erase(at);
-        return TakeAnswers();
+        return TakePendingAnswers();
       }
     }
   }
-  return TakeAnswers();
+  return TakePendingAnswers();
 }
 
 bool
-SlotBroker::HasRequestOf(uint64_t aSession) const
+SlotBroker::HasRequestsOf(uint64_t aSession) const
 {
-  const auto running = mRunning.lower_bound({ aSession, 0 });
-  if (running != mRunning.end() && running->first.session == aSession) {
+  const auto granted = mGranted.lower_bound({ aSession, 0 });
+  if (granted != mGranted.end() && granted->first.session == aSession) {
     return true;
   }
   return std::any_of(mQueues.begin(), mQueues.end(), [&](const auto& aQueue) {
     return std::any_of(
-      aQueue.second.begin(), aQueue.second.end(), [&](const auto& aWaiting) {
-        return aWaiting.second.request.key.session == aSession;
+      aQueue.second.begin(), aQueue.second.end(), [&](const auto& aQueued) {
+        return aQueued.second.request.key.session == aSession;
       });
   });
 }
 
-/// Ends the waits that are over; those that may still be answered late go on
-/// behind the others.
+/// Ends expired waits. Requests that may still be answered late are queued
+/// again behind the others; the rest is refused.
 void
-SlotBroker::EndWaits(Queue& aQueue, Instant aNow)
+SlotBroker::ExpireWaits(Queue& aQueue, Instant aNow)
 {
   std::vector<SlotRequest> late;
   for (auto at = aQueue.begin(); at != aQueue.end();) {
-    if (at->second.until > aNow) {
+    if (at->second.waitUntil > aNow) {
       ++at;
       continue;
     }
     SlotRequest request = at->second.request;
-    const bool wasLate = at->first.late;
-    request.maxHold = at->second.lateUntil + AnswerTime(request) - aNow;
+    const bool isLate = at->first.late;
+    request.maxHold =
+      at->second.lateWaitUntil + ExpectedResponseTime(request) - aNow;
     at = aQueue.erase(at);
-    if (!wasLate && ExpectedLateWait(request, aNow) <=
-                      Scaled(LatestStart(request), kSureOfLate)) {
+    if (!isLate && ExpectedLateWait(request, aNow) <=
+                     Scaled(MaxLateWait(request), kMaxLateWaitFraction)) {
       late.push_back(std::move(request));
       continue;
     }
-    RefuseAsFull(request, ExpectedWait(request));
+    RefuseFull(request, ExpectedWait(request));
   }
   for (const SlotRequest& request : late) {
     Enqueue(request, true, aNow);
@@ -386,52 +400,52 @@
 }
 
 size_t
-SlotBroker::Waiting() const
+SlotBroker::QueuedCount() const
 {
-  size_t waiting = 0;
+  size_t queued = 0;
   for (const auto& [service, queue] : mQueues) {
-    waiting += queue.size();
+    queued += queue.size();
   }
-  return waiting;
+  return queued;
 }
 
 std::vector<SlotAnswer>
 SlotBroker::Tick(Instant aNow)
 {
   for (auto& [service, queue] : mQueues) {
-    EndWaits(queue, aNow);
+    ExpireWaits(queue, aNow);
   }
   std::erase_if(mDemand, [&](const auto& aItem) {
-    return aNow - aItem.second.at >= Duration(kDemandForgotten);
+    return aNow - aItem.second.at >= Duration(kDemandRetention);
   });
   std::set<std::string> freed;
-  for (auto at = mRunning.begin(); at != mRunning.end();) {
-    if (at->second.ends > aNow) {
+  for (auto at = mGranted.begin(); at != mGranted.end();) {
+    if (at->second.expiresAt > aNow) {
       ++at;
       continue;
     }
-    mUpstreams.End(at->second.instance,
-                   AttemptOutcome::Abandoned,
-                   {},
-                   at->second.begun,
-                   aNow);
+    mUpstreams.EndAttempt(at->second.instance,
+                          AttemptOutcome::Abandoned,
+                          {},
+                          at->second.start,
+                          aNow);
     freed.insert(mUpstreams.ServiceOf(at->second.instance));
-    at = mRunning.erase(at);
+    at = mGranted.erase(at);
   }
   for (const std::string& service : freed) {
-    Serve(service, aNow);
+    GrantQueued(service, aNow);
   }
-  mUpstreams.ForgetWarm(aNow);
-  ServeCold(aNow);
-  return TakeAnswers();
+  mUpstreams.RemoveWarm(aNow);
+  GrantQueuedForCold(aNow);
+  return TakePendingAnswers();
 }
 
-/// A cold upstream may be sent more as time passes, without any end of a
-/// request.
+/// Grants slots of cold upstreams: their request limit allows more as time
+/// passes, also if no request ends.
 void
-SlotBroker::ServeCold(Instant aNow)
+SlotBroker::GrantQueuedForCold(Instant aNow)
 {
-  if (Waiting() == 0) {
+  if (QueuedCount() == 0) {
     return;
   }
   std::set<std::string> services;
@@ -439,7 +453,7 @@
     services.insert(mUpstreams.ServiceOf(instance));
   }
   for (const std::string& service : services) {
-    Serve(service, aNow);
+    GrantQueued(service, aNow);
   }
 }
 
--- a/src/librattandyke/gateway/slot_broker.h
+++ b/src/librattandyke/gateway/slot_broker.h
@@ -1,4 +1,4 @@
-/// Shares upstreams' slots out to requests.
+/// Allocation of upstream slots to requests.
 #pragma once
 
 #include <map>
@@ -15,7 +15,8 @@
 
 namespace rattandyke::gateway {
 
-/// One request of one process that wants a slot.
+/// Identifies a slot request: the session of the requesting process, and a
+/// ticket that is unique within the session.
 struct SlotKey
 {
   uint64_t session = 0;
@@ -23,33 +24,36 @@
   auto operator<=>(const SlotKey&) const = default; // NOLINT(*-nullptr)
 };
 
-/// A request wants a slot.
+/// Parameters of a slot request.
 struct SlotRequest
 {
   SlotKey key;
   std::string service;
-  /// The one upstream that will do; empty: any of the service's.
+  /// The only upstream allowed; empty: any upstream of the service.
   std::string instance;
-  /// Without an instance: the group of the service's upstreams.
+  /// If instance is empty: the group of the service's upstreams to choose from.
   uint32_t group = 0;
-  /// Upstreams that will not do.
+  /// Upstreams that must not be chosen.
   std::set<std::string> excluded;
-  /// 0 goes first.
+  /// 0 is the most urgent.
   uint32_t priority = 0;
-  /// Time for which it waits.
+  /// Longest time to wait for a slot.
   Duration maxWait{};
-  /// Time left in which its answer is still in time; zero: not said.
+  /// Remaining time in which an answer meets the latency objective; zero: not
+  /// specified.
   Duration timeToObjective{};
-  /// Longest time for which it keeps the slot.
+  /// Longest time to keep the slot.
   Duration maxHold{};
+  /// Data centre of the requesting entry host.
   DataCentre dataCentre;
-  /// Other hosts, unknown to this one, send requests to the same upstreams.
-  bool alone = false;
-  /// Its one upstream is seldom wanted, as far as this host knows.
-  bool calm = true;
-  /// This host is certain to keep the slots of cold upstreams.
-  bool cold = true;
-  /// This host chooses an instance by itself, by what they have told.
+  /// This host is not the home entry of the upstreams, so other hosts may send
+  /// requests to them that this host does not know of.
+  bool uncoordinated = false;
+  /// The request may be sent without an answer of the home entry.
+  bool mayBypassHome = true;
+  /// Cold upstreams may be chosen: this host is certain to be their home entry.
+  bool mayUseCold = true;
+  /// This host chooses an instance from load reports, without the home entry.
   bool direct = false;
 };
 
@@ -64,11 +68,11 @@
 {
   SlotKey key;
   UpstreamSet::UnavailableReason reason = UpstreamSet::UnavailableReason::Full;
-  /// When a slot may be free.
+  /// Time after which a slot may be free.
   Duration retryAfter{};
 };
 
-/// It waits its turn.
+/// The request waits for a slot; SlotGranted or SlotRefused follows.
 struct SlotQueued
 {
   SlotKey key;
@@ -76,39 +80,45 @@
 
 using SlotAnswer = std::variant<SlotGranted, SlotRefused, SlotQueued>;
 
-/// Keeps the slots of the upstreams that it is asked for: all requests that run
-/// there for any entry host are known to it, so that no upstream gets more than
-/// it has room for. Without that, entries that each send what an upstream can
-/// run overrun it together; it then keeps silent or resets connections, and a
-/// request that could have waited or gone elsewhere fails. Does no I/O. Not
-/// thread-safe.
+/// Allocates the slots of upstreams to the requests of all entry hosts and
+/// queues requests by priority. On the home entry of an upstream it knows all
+/// requests in flight there, so the upstream never gets more than it has room
+/// for. Without central allocation, entries that each send up to the capacity
+/// of an upstream overload it together; the upstream then stops answering or
+/// resets connections, and requests fail that could have waited or been sent to
+/// another upstream. Does no I/O. Not thread-safe.
+///
+/// Each method that returns answers returns those of all requests that it
+/// decides, not only those of the request passed.
 class SlotBroker
 {
 public:
   SlotBroker(uint64_t aSeed, const UpstreamSet::Options& aOptions);
 
-  /// Takes over all instances of the replicated state.
+  /// Applies all instances of the replicated state.
   std::vector<SlotAnswer> Update(const State& aState, Instant aNow);
 
-  /// Takes over one instance that was put or ended.
+  /// Applies one instance that was added, changed or removed.
   std::vector<SlotAnswer> Update(const State& aState,
                                  const std::string& aInstance,
                                  Instant aNow);
 
-  std::vector<SlotAnswer> Ask(const SlotRequest& aRequest, Instant aNow);
+  /// Grants, queues or refuses a slot.
+  std::vector<SlotAnswer> Acquire(const SlotRequest& aRequest, Instant aNow);
 
-  /// A request ended, or wants no slot any more.
-  std::vector<SlotAnswer> Done(const SlotKey& aKey,
-                               AttemptOutcome aEnd,
-                               Duration aTook,
-                               Instant aNow);
+  /// Frees the slot of a request, or removes the request from the queue.
+  /// @param aElapsed time since the request was sent to the upstream.
+  std::vector<SlotAnswer> Release(const SlotKey& aKey,
+                                  AttemptOutcome aOutcome,
+                                  Duration aElapsed,
+                                  Instant aNow);
 
-  /// Time has passed. Call it every kTick.
+  /// Ends waits and slots that have expired. Must be called every kTick.
   std::vector<SlotAnswer> Tick(Instant aNow);
 
   const UpstreamSet& Upstreams() const { return mUpstreams; }
 
-  /// UpstreamSet::RecordLoadReport.
+  /// See UpstreamSet::RecordLoadReport.
   void RecordLoadReport(const std::string& aInstance,
                         const LoadReport& aLoad,
                         Instant aNow)
@@ -116,19 +126,19 @@
     mUpstreams.RecordLoadReport(aInstance, aLoad, aNow);
   }
 
-  /// UpstreamSet::HoldOffCold.
-  void HoldOffCold(const std::vector<std::string>& aInstances, Instant aNow)
+  /// See UpstreamSet::PauseCold.
+  void PauseCold(const std::vector<std::string>& aInstances, Instant aNow)
   {
-    mUpstreams.HoldOffCold(aInstances, aNow);
+    mUpstreams.PauseCold(aInstances, aNow);
   }
 
-  /// @return whether a request of a process waits or has a slot here.
-  bool HasRequestOf(uint64_t aSession) const;
+  /// @return whether a request of the session waits or has a slot here.
+  bool HasRequestsOf(uint64_t aSession) const;
 
-  /// @return requests that wait for a slot.
-  size_t Waiting() const;
+  /// @return the number of requests that wait for a slot.
+  size_t QueuedCount() const;
 
-  /// UpstreamSet::TakeChangedResponseSeconds.
+  /// See UpstreamSet::TakeChangedResponseSeconds.
   std::map<std::string, double> TakeChangedResponseSeconds()
   {
     return mUpstreams.TakeChangedResponseSeconds();
@@ -140,30 +150,32 @@
   struct QueuedRequest
   {
     SlotRequest request;
-    Instant until{};
-    /// Until then an answer may come before its caller's deadline.
-    Instant lateUntil{};
+    /// End of the current wait.
+    Instant waitUntil{};
+    /// Latest start at which the answer is expected before the caller's
+    /// deadline.
+    Instant lateWaitUntil{};
   };
 
-  struct Running
+  struct GrantedSlot
   {
     std::string instance;
-    Instant ends{};
-    UpstreamSet::Begun begun;
+    Instant expiresAt{};
+    UpstreamSet::AttemptStart start;
   };
 
-  /// By priority; then those whose answers may still be in time, and those that
-  /// are late; then in the order of arrival.
-  struct Place
+  /// Orders the queue by priority, then requests that may still meet their
+  /// latency objective before late ones, then by arrival.
+  struct QueuePosition
   {
     uint32_t priority = 0;
     bool late = false;
     uint64_t arrival = 0;
-    auto operator<=>(const Place&) const = default; // NOLINT(*-nullptr)
+    auto operator<=>(const QueuePosition&) const = default; // NOLINT(*-nullptr)
   };
-  using Queue = std::map<Place, QueuedRequest>;
+  using Queue = std::map<QueuePosition, QueuedRequest>;
 
-  /// Requests for the same upstreams: one, or a group.
+  /// The upstreams that a request may use: one instance, or a group.
   struct Target
   {
     std::string service;
@@ -172,7 +184,7 @@
     auto operator<=>(const Target&) const = default; // NOLINT(*-nullptr)
   };
 
-  /// How many requests come for a target, as a moving sum.
+  /// Requests for a target, as an exponentially decayed sum.
   struct Demand
   {
     double requests = 0;
@@ -185,31 +197,31 @@
              const UpstreamSet::Choice& aChoice,
              Instant aNow);
   void Refuse(const SlotRequest& aRequest,
-              UpstreamSet::UnavailableReason aHindrance,
+              UpstreamSet::UnavailableReason aReason,
               Duration aRetryAfter);
-  void RefuseAsFull(const SlotRequest& aRequest, Duration aWait);
+  void RefuseFull(const SlotRequest& aRequest, Duration aWait);
   static Target TargetOf(const SlotRequest& aRequest);
-  Duration AnswerTime(const SlotRequest& aRequest) const;
-  Duration PatienceOf(const SlotRequest& aRequest) const;
-  Duration LatestStart(const SlotRequest& aRequest) const;
-  double RateFor(const SlotRequest& aRequest) const;
-  size_t Ahead(const SlotRequest& aRequest, bool aLate) const;
+  Duration ExpectedResponseTime(const SlotRequest& aRequest) const;
+  Duration MaxOnTimeWait(const SlotRequest& aRequest) const;
+  Duration MaxLateWait(const SlotRequest& aRequest) const;
+  double CapacityFor(const SlotRequest& aRequest) const;
+  size_t QueuedAhead(const SlotRequest& aRequest, bool aLate) const;
   Duration ExpectedWait(const SlotRequest& aRequest) const;
   Duration ExpectedLateWait(const SlotRequest& aRequest, Instant aNow) const;
-  void NoteDemand(const SlotRequest& aRequest, Instant aNow);
-  double DemandFor(const SlotRequest& aRequest, Instant aNow) const;
+  void RecordDemand(const SlotRequest& aRequest, Instant aNow);
+  double DemandRate(const SlotRequest& aRequest, Instant aNow) const;
   void Enqueue(const SlotRequest& aRequest, bool aLate, Instant aNow);
-  void EndWaits(Queue& aQueue, Instant aNow);
-  void Serve(const std::string& aService, Instant aNow);
-  void ServeCold(Instant aNow);
-  std::vector<SlotAnswer> TakeAnswers();
+  void ExpireWaits(Queue& aQueue, Instant aNow);
+  void GrantQueued(const std::string& aService, Instant aNow);
+  void GrantQueuedForCold(Instant aNow);
+  std::vector<SlotAnswer> TakePendingAnswers();
 
   UpstreamSet mUpstreams;
   std::map<std::string, Queue> mQueues;
-  std::map<SlotKey, Running> mRunning;
+  std::map<SlotKey, GrantedSlot> mGranted;
   std::map<Target, Demand> mDemand;
   uint64_t mArrivals = 0;
-  std::vector<SlotAnswer> mAnswers;
+  std::vector<SlotAnswer> mPendingAnswers;
 };
 
 } // namespace rattandyke::gateway
--- a/src/librattandyke/gateway/slot_broker_test.cpp
+++ b/src/librattandyke/gateway/slot_broker_test.cpp
@@ -54,7 +54,7 @@
 class SlotBrokerTest : public ::testing::Test
 {
 protected:
-  void Use(const std::vector<std::string>& aInstances, uint32_t aSlots)
+  void LoadState(const std::vector<std::string>& aInstances, uint32_t aSlots)
   {
     broker.Update(StateWith(aInstances, aSlots), now);
   }
@@ -63,22 +63,22 @@
   SlotBroker broker{ 7, { std::chrono::seconds{ 2 } } };
 };
 
-TEST_F(SlotBrokerTest, GrantsUpToTheRoomAndQueuesTheRest)
+TEST_F(SlotBrokerTest, GrantsUpToTheLimitAndQueuesTheRest)
 {
-  Use({ "a" }, 1);
-  EXPECT_EQ(Count<SlotGranted>(broker.Ask(Request(1), now)), 1U);
-  EXPECT_EQ(Count<SlotGranted>(broker.Ask(Request(2), now)), 1U);
-  EXPECT_EQ(Count<SlotQueued>(broker.Ask(Request(3), now)), 1U);
+  LoadState({ "a" }, 1);
+  EXPECT_EQ(Count<SlotGranted>(broker.Acquire(Request(1), now)), 1U);
+  EXPECT_EQ(Count<SlotGranted>(broker.Acquire(Request(2), now)), 1U);
+  EXPECT_EQ(Count<SlotQueued>(broker.Acquire(Request(3), now)), 1U);
   const auto answers =
-    broker.Done({ 1, 1 }, AttemptOutcome::Answered, milliseconds{ 50 }, now);
+    broker.Release({ 1, 1 }, AttemptOutcome::Answered, milliseconds{ 50 }, now);
   ASSERT_EQ(Count<SlotGranted>(answers), 1U);
   EXPECT_EQ(std::get<SlotGranted>(answers.front()).key.ticket, 3U);
 }
 
 // A request waits for a service that is full. An upstream of another service
-// starts again under its id and belongs to the full one now: its slot must be
-// given at once, and not when the next request of the service ends.
-TEST_F(SlotBrokerTest, UpstreamThatComesFromAnotherServiceServesThoseThatWait)
+// restarts under its id as an upstream of the full one. Its slot must be
+// granted at once, and not when the next request of the service ends.
+TEST_F(SlotBrokerTest, UpstreamMovedToAnotherServiceServesQueuedRequests)
 {
   State state = StateWith({ "a" }, 1);
   uint64_t index = state.Applied().value;
@@ -95,67 +95,68 @@
   };
   put("other", 1);
   broker.Update(state, now);
-  broker.Ask(Request(1), now);
-  broker.Ask(Request(2), now);
-  ASSERT_EQ(Count<SlotQueued>(broker.Ask(Request(3), now)), 1U);
+  broker.Acquire(Request(1), now);
+  broker.Acquire(Request(2), now);
+  ASSERT_EQ(Count<SlotQueued>(broker.Acquire(Request(3), now)), 1U);
   put("desk", 2);
   EXPECT_EQ(Count<SlotGranted>(broker.Update(state, "b", now)), 1U);
 }
 
-TEST_F(SlotBrokerTest, MoreUrgentRequestsGoFirst)
+TEST_F(SlotBrokerTest, GrantsMoreUrgentRequestsFirst)
 {
-  Use({ "a" }, 1);
-  broker.Ask(Request(1), now);
-  broker.Ask(Request(2), now);
-  broker.Ask(Request(3, 2), now);
-  broker.Ask(Request(4, 0), now);
+  LoadState({ "a" }, 1);
+  broker.Acquire(Request(1), now);
+  broker.Acquire(Request(2), now);
+  broker.Acquire(Request(3, 2), now);
+  broker.Acquire(Request(4, 0), now);
   const auto answers =
-    broker.Done({ 1, 1 }, AttemptOutcome::Answered, milliseconds{ 50 }, now);
+    broker.Release({ 1, 1 }, AttemptOutcome::Answered, milliseconds{ 50 }, now);
   ASSERT_EQ(Count<SlotGranted>(answers), 1U);
   EXPECT_EQ(std::get<SlotGranted>(answers.front()).key.ticket, 4U);
 }
 
-// Many callers come at once. Those who would have to wait much longer than they
-// can are refused at once, while they can still use their time.
-TEST_F(SlotBrokerTest, HopelessRequestsAreRefusedAtOnce)
+// Many requests arrive at once. Those whose expected wait is much longer than
+// they may wait are refused at once, while their callers have time to retry.
+TEST_F(SlotBrokerTest, RequestsWithTooLongWaitAreRefusedAtOnce)
 {
-  Use({ "a" }, 1);
+  LoadState({ "a" }, 1);
   size_t refused = 0;
   for (uint64_t ticket = 1; ticket <= 20; ++ticket) {
-    refused += Count<SlotRefused>(broker.Ask(Request(ticket), now));
+    refused += Count<SlotRefused>(broker.Acquire(Request(ticket), now));
   }
   EXPECT_GE(refused, 10U);
 }
 
-// A request has waited for as long as its answer could be in time. If no later
-// answer is likely to reach its caller either, it is refused then.
-TEST_F(SlotBrokerTest, PatienceEnds)
+// A request has waited for its longest wait. If a late answer is unlikely to
+// reach its caller as well, it is refused then.
+TEST_F(SlotBrokerTest, RefusesAfterLongestWait)
 {
-  Use({ "a" }, 1);
-  broker.Ask(Request(1), now);
-  broker.Ask(Request(2), now);
+  LoadState({ "a" }, 1);
+  broker.Acquire(Request(1), now);
+  broker.Acquire(Request(2), now);
   SlotRequest third = Request(3);
   third.maxHold = milliseconds{ 450 };
-  broker.Ask(third, now);
+  broker.Acquire(third, now);
   EXPECT_EQ(Count<SlotRefused>(broker.Tick(now + milliseconds{ 299 })), 0U);
   EXPECT_EQ(Count<SlotRefused>(broker.Tick(now + milliseconds{ 301 })), 1U);
 }
 
-// The same with a caller that has much time left and an upstream that has room
-// for more than comes: the request waits on for a late answer, behind those
-// that came after it and can still be in time, and until no answer can come.
-TEST_F(SlotBrokerTest, LateRequestWaitsBehindThoseInTime)
+// A request has waited for its longest wait, but its deadline is far away and
+// the upstream has spare capacity. The request waits on for a late answer,
+// behind requests that arrived later and can still be on time, until no answer
+// can arrive before its deadline.
+TEST_F(SlotBrokerTest, LateRequestWaitsBehindOnTimeRequests)
 {
-  Use({ "a" }, 1);
-  broker.Ask(Request(1), now);
-  broker.Ask(Request(2), now);
-  broker.Ask(Request(3), now);
+  LoadState({ "a" }, 1);
+  broker.Acquire(Request(1), now);
+  broker.Acquire(Request(2), now);
+  broker.Acquire(Request(3), now);
   EXPECT_TRUE(broker.Tick(now + milliseconds{ 301 }).empty());
-  broker.Ask(Request(4), now + milliseconds{ 310 });
-  const auto first = broker.Done({ 1, 1 },
-                                 AttemptOutcome::Answered,
-                                 milliseconds{ 100 },
-                                 now + milliseconds{ 320 });
+  broker.Acquire(Request(4), now + milliseconds{ 310 });
+  const auto first = broker.Release({ 1, 1 },
+                                    AttemptOutcome::Answered,
+                                    milliseconds{ 100 },
+                                    now + milliseconds{ 320 });
   ASSERT_EQ(Count<SlotGranted>(first), 1U);
   EXPECT_EQ(std::get<SlotGranted>(first.front()).key.ticket, 4U);
   EXPECT_TRUE(broker.Tick(now + milliseconds{ 860 }).empty());
@@ -164,44 +165,44 @@
   EXPECT_EQ(std::get<SlotRefused>(last.front()).key.ticket, 3U);
 }
 
-// Twice as much comes as the upstream can run. Nothing is left for late
-// answers, so that nobody is kept for one: a caller that is told at once can
-// use its time.
-TEST_F(SlotBrokerTest, NobodyWaitsForALateAnswerUnderOverload)
+// Requests arrive at twice the capacity of the upstream. No capacity is left
+// for late requests, so none is queued as late: a caller that is refused at
+// once has time to retry.
+TEST_F(SlotBrokerTest, NoLateRequestIsQueuedUnderOverload)
 {
-  Use({ "a" }, 1);
+  LoadState({ "a" }, 1);
   uint64_t ticket = 0;
   for (int step = 0; step < 40; ++step) {
     now += milliseconds{ 50 };
-    for (const SlotAnswer& answer : broker.Ask(Request(++ticket), now)) {
+    for (const SlotAnswer& answer : broker.Acquire(Request(++ticket), now)) {
       if (const auto* refused = std::get_if<SlotRefused>(&answer)) {
         EXPECT_EQ(refused->key.ticket, ticket);
       }
     }
     if (step % 2 == 1) {
-      broker.Done({ 1, static_cast<uint64_t>(step) / 2 + 1 },
-                  AttemptOutcome::Answered,
-                  milliseconds{ 100 },
-                  now);
+      broker.Release({ 1, static_cast<uint64_t>(step) / 2 + 1 },
+                     AttemptOutcome::Answered,
+                     milliseconds{ 100 },
+                     now);
     }
     broker.Tick(now);
   }
-  EXPECT_LE(broker.Waiting(), 5U);
+  EXPECT_LE(broker.QueuedCount(), 5U);
 }
 
-// The entry that had a slot is killed, and its return never comes. The slot
-// must be free again once its request must have ended.
-TEST_F(SlotBrokerTest, SlotWhoseReturnIsLostIsFreeAgain)
+// An entry that has slots is killed and never releases them. They must be freed
+// after the longest hold time of their requests.
+TEST_F(SlotBrokerTest, SlotIsFreedIfItsReleaseIsLost)
 {
-  Use({ "a" }, 1);
-  broker.Ask(Request(1), now);
-  broker.Ask(Request(2), now);
+  LoadState({ "a" }, 1);
+  broker.Acquire(Request(1), now);
+  broker.Acquire(Request(2), now);
   now += milliseconds{ 1500 };
   broker.Tick(now);
-  EXPECT_EQ(broker.Upstreams().Running("a"), 0U);
+  EXPECT_EQ(broker.Upstreams().InFlight("a"), 0U);
 }
 
-TEST_F(SlotBrokerTest, LeavingUpstreamGetsNothing)
+TEST_F(SlotBrokerTest, DrainingUpstreamGetsNoRequests)
 {
   State state = StateWith({ "a", "b" }, 2);
   wire::GatewayCommand command;
@@ -212,34 +213,34 @@
   static_cast<void>(state.Apply(command, LogIndex{ 9 }));
   broker.Update(state, now);
   for (uint64_t ticket = 1; ticket <= 3; ++ticket) {
-    for (const SlotAnswer& answer : broker.Ask(Request(ticket), now)) {
+    for (const SlotAnswer& answer : broker.Acquire(Request(ticket), now)) {
       ASSERT_TRUE(std::holds_alternative<SlotGranted>(answer));
       EXPECT_EQ(std::get<SlotGranted>(answer).instance, "b");
     }
   }
 }
 
-TEST_F(SlotBrokerTest, UpstreamThatFailsIsAvoidedButNotForGood)
+TEST_F(SlotBrokerTest, FailedUpstreamIsAvoidedTemporarily)
 {
-  Use({ "a", "b" }, 2);
-  const auto first = broker.Ask(Request(1), now);
+  LoadState({ "a", "b" }, 2);
+  const auto first = broker.Acquire(Request(1), now);
   const std::string failed = std::get<SlotGranted>(first.front()).instance;
-  broker.Done({ 1, 1 }, AttemptOutcome::Unreachable, {}, now);
-  const auto next = broker.Ask(Request(2), now);
+  broker.Release({ 1, 1 }, AttemptOutcome::Unreachable, {}, now);
+  const auto next = broker.Acquire(Request(2), now);
   EXPECT_NE(std::get<SlotGranted>(next.front()).instance, failed);
   now += std::chrono::seconds{ 10 };
   broker.Tick(now);
   std::set<std::string> used;
   for (uint64_t ticket = 3; ticket <= 6; ++ticket) {
-    const auto answers = broker.Ask(Request(ticket), now);
+    const auto answers = broker.Acquire(Request(ticket), now);
     used.insert(std::get<SlotGranted>(answers.front()).instance);
   }
   EXPECT_TRUE(used.contains(failed));
 }
 
-// Whatever is asked, returned and lost in any order: no upstream runs more than
-// it has room for, and each request gets one final answer at most.
-RC_GTEST_PROP(SlotBroker, NeverOverrunsAnUpstream, ())
+// For any sequence of acquired and released slots: no upstream gets more
+// requests than its limit, and each request gets at most one final answer.
+RC_GTEST_PROP(SlotBroker, NeverExceedsTheLimitOfAnUpstream, ())
 {
   std::mt19937_64 random(*rc::gen::arbitrary<uint64_t>());
   SlotBroker broker(random(), { std::chrono::seconds{ 2 } });
@@ -247,78 +248,79 @@
   broker.Update(StateWith({ "a", "b", "c" }, 2), now);
   std::map<std::string, int> running;
   std::map<uint64_t, std::string> granted;
-  std::set<uint64_t> final;
+  std::set<uint64_t> answered;
   uint64_t ticket = 0;
   const auto take = [&](const std::vector<SlotAnswer>& aAnswers) {
     for (const SlotAnswer& answer : aAnswers) {
       if (const auto* slot = std::get_if<SlotGranted>(&answer)) {
-        RC_ASSERT(final.insert(slot->key.ticket).second);
+        RC_ASSERT(answered.insert(slot->key.ticket).second);
         RC_ASSERT(++running[slot->instance] <= 3);
         granted[slot->key.ticket] = slot->instance;
       } else if (const auto* none = std::get_if<SlotRefused>(&answer)) {
-        RC_ASSERT(final.insert(none->key.ticket).second);
+        RC_ASSERT(answered.insert(none->key.ticket).second);
       }
     }
   };
   for (int step = 0; step < 300; ++step) {
     if (random() % 2 == 0) {
-      take(broker.Ask(Request(++ticket, random() % 3), now));
+      take(broker.Acquire(Request(++ticket, random() % 3), now));
     } else if (!granted.empty()) {
       const auto [done, instance] = *granted.begin();
       granted.erase(granted.begin());
       --running[instance];
       const auto end = static_cast<AttemptOutcome>(random() % 6);
-      take(broker.Done({ 1, done }, end, milliseconds{ 40 }, now));
+      take(broker.Release({ 1, done }, end, milliseconds{ 40 }, now));
     }
     now += milliseconds(random() % 20);
     take(broker.Tick(now));
-    // Requests end before their slots are taken back.
+    // Requests end before their slots expire.
     while (!granted.empty() && ticket - granted.begin()->first > 40) {
       const auto [done, instance] = *granted.begin();
       granted.erase(granted.begin());
       --running[instance];
-      take(broker.Done(
+      take(broker.Release(
         { 1, done }, AttemptOutcome::Answered, milliseconds{ 40 }, now));
     }
   }
 }
 
-// An upstream takes 400 ms for each answer, and answers after 500 ms are late.
-// A request that waits 300 ms for it is late in any case, and the next one,
-// which waits behind it, too: none of them would be in time.
-TEST_F(SlotBrokerTest, NobodyWaitsUntilOnlyALateAnswerIsLeft)
+// An upstream takes 400 ms for each response, and the latency objective is 500
+// ms. If a request waited its longest wait of 300 ms, it would miss the
+// objective, and so would the next one behind it. It is refused at once
+// instead.
+TEST_F(SlotBrokerTest, RefusesRequestThatCanOnlyBeLate)
 {
-  Use({ "a" }, 1);
+  LoadState({ "a" }, 1);
   for (uint64_t ticket = 1; ticket <= 30; ++ticket) {
-    broker.Ask(Request(ticket), now);
-    broker.Done(
+    broker.Acquire(Request(ticket), now);
+    broker.Release(
       { 1, ticket }, AttemptOutcome::Answered, milliseconds{ 400 }, now);
   }
-  const auto ask = [&](uint64_t aTicket) {
+  const auto acquire = [&](uint64_t aTicket) {
     SlotRequest request = Request(aTicket);
     request.instance = "a";
     request.maxWait = milliseconds{ 300 };
     request.timeToObjective = milliseconds{ 500 };
-    return broker.Ask(request, now);
+    return broker.Acquire(request, now);
   };
-  EXPECT_EQ(Count<SlotGranted>(ask(101)), 1U);
-  EXPECT_EQ(Count<SlotGranted>(ask(102)), 1U);
-  EXPECT_EQ(Count<SlotRefused>(ask(103)), 1U);
+  EXPECT_EQ(Count<SlotGranted>(acquire(101)), 1U);
+  EXPECT_EQ(Count<SlotGranted>(acquire(102)), 1U);
+  EXPECT_EQ(Count<SlotRefused>(acquire(103)), 1U);
 }
 
-TEST_F(SlotBrokerTest, OnlyNewTimesAreReported)
+TEST_F(SlotBrokerTest, TakesOnlyChangedResponseTimes)
 {
-  Use({ "a", "b" }, 1);
-  broker.Ask(Request(1), now);
-  broker.Done({ 1, 1 }, AttemptOutcome::Answered, milliseconds{ 50 }, now);
+  LoadState({ "a", "b" }, 1);
+  broker.Acquire(Request(1), now);
+  broker.Release({ 1, 1 }, AttemptOutcome::Answered, milliseconds{ 50 }, now);
   EXPECT_EQ(broker.TakeChangedResponseSeconds().size(), 1U);
   EXPECT_TRUE(broker.TakeChangedResponseSeconds().empty());
 }
 
-// An upstream starts again under its id while two requests run at its earlier
-// life. The later life has all its slots free, is not leaving although the
-// earlier one was, and is not charged with the ends of those requests.
-TEST_F(SlotBrokerTest, LaterLifeHasAllItsSlots)
+// An upstream restarts under its id while two requests run at its earlier
+// incarnation, which is draining. The new incarnation has all its slots free,
+// is not draining, and is not affected by the ends of those requests.
+TEST_F(SlotBrokerTest, NewIncarnationHasAllSlotsFree)
 {
   State state;
   wire::GatewayCommand command;
@@ -331,8 +333,8 @@
   instance->set_life(100);
   static_cast<void>(state.Apply(command, LogIndex{ 1 }));
   broker.Update(state, now);
-  broker.Ask(Request(1), now);
-  broker.Ask(Request(2), now);
+  broker.Acquire(Request(1), now);
+  broker.Acquire(Request(2), now);
   instance->set_draining(true);
   static_cast<void>(state.Apply(command, LogIndex{ 2 }));
   broker.Update(state, now);
@@ -340,40 +342,40 @@
   instance->set_life(200);
   static_cast<void>(state.Apply(command, LogIndex{ 3 }));
   broker.Update(state, now);
-  EXPECT_EQ(broker.Upstreams().Running("a"), 0U);
-  EXPECT_EQ(Count<SlotGranted>(broker.Ask(Request(3), now)), 1U);
-  broker.Done({ 1, 1 }, AttemptOutcome::Broken, milliseconds{ 50 }, now);
-  EXPECT_EQ(broker.Upstreams().Running("a"), 1U);
-  EXPECT_EQ(Count<SlotGranted>(broker.Ask(Request(4), now)), 1U);
+  EXPECT_EQ(broker.Upstreams().InFlight("a"), 0U);
+  EXPECT_EQ(Count<SlotGranted>(broker.Acquire(Request(3), now)), 1U);
+  broker.Release({ 1, 1 }, AttemptOutcome::Broken, milliseconds{ 50 }, now);
+  EXPECT_EQ(broker.Upstreams().InFlight("a"), 1U);
+  EXPECT_EQ(Count<SlotGranted>(broker.Acquire(Request(4), now)), 1U);
 }
 
-// The owner of a key falls silent, and its keys have no other owner until its
-// hold is over. Those that were sent to it wait to their deadlines; who comes
-// after them is told at once, but for a request now and then, and once one of
-// these is answered all are sent again.
-TEST_F(SlotBrokerTest, OwnerThatSeemsDeadIsTriedNowAndThen)
+// The owner of a key stops answering, and its keys have no other owner until
+// its lease expires. Requests already sent to it time out. Later ones are
+// refused at once, except for one probe per interval; once a probe is answered,
+// all are sent again.
+TEST_F(SlotBrokerTest, OwnerAssumedDownIsProbed)
 {
-  Use({ "a" }, 4);
-  const auto ask = [&](uint64_t aTicket) {
+  LoadState({ "a" }, 4);
+  const auto acquire = [&](uint64_t aTicket) {
     SlotRequest request = Request(aTicket);
     request.instance = "a";
-    return broker.Ask(request, now);
+    return broker.Acquire(request, now);
   };
   for (uint64_t ticket = 1; ticket <= 4; ++ticket) {
-    ask(ticket);
+    acquire(ticket);
   }
   for (uint64_t ticket = 1; ticket <= 4; ++ticket) {
-    broker.Done(
+    broker.Release(
       { 1, ticket }, AttemptOutcome::TimedOut, milliseconds{ 500 }, now);
   }
-  EXPECT_EQ(Count<SlotGranted>(ask(5)), 1U);
-  EXPECT_EQ(Count<SlotRefused>(ask(6)), 1U);
-  EXPECT_EQ(Count<SlotRefused>(ask(7)), 1U);
+  EXPECT_EQ(Count<SlotGranted>(acquire(5)), 1U);
+  EXPECT_EQ(Count<SlotRefused>(acquire(6)), 1U);
+  EXPECT_EQ(Count<SlotRefused>(acquire(7)), 1U);
   now += milliseconds{ 110 };
-  EXPECT_EQ(Count<SlotGranted>(ask(8)), 1U);
-  broker.Done({ 1, 8 }, AttemptOutcome::Answered, milliseconds{ 50 }, now);
-  EXPECT_EQ(Count<SlotGranted>(ask(9)), 1U);
-  EXPECT_EQ(Count<SlotGranted>(ask(10)), 1U);
+  EXPECT_EQ(Count<SlotGranted>(acquire(8)), 1U);
+  broker.Release({ 1, 8 }, AttemptOutcome::Answered, milliseconds{ 50 }, now);
+  EXPECT_EQ(Count<SlotGranted>(acquire(9)), 1U);
+  EXPECT_EQ(Count<SlotGranted>(acquire(10)), 1U);
 }
 
 } // namespace
--- a/src/librattandyke/gateway/slot_coordinator.cpp
+++ b/src/librattandyke/gateway/slot_coordinator.cpp
@@ -14,22 +14,23 @@
 using http::kAwait;
 using std::chrono::milliseconds;
 
-/// A home that says nothing for so long is busy, cut off or gone. Hosts are a
-/// few milliseconds apart; one with a tenth of a core as a quota of 10 ms in
-/// each 100 ms may pause for 90 ms.
-constexpr milliseconds kHomeSilence{ 110 };
-/// The same where asking takes long as a rule and the upstream is seldom
-/// wanted: the home's word is more likely in a queue than lost, and the
-/// upstream likely to have room.
-constexpr milliseconds kSlowSilence{ 50 };
-/// After which a caller comes back if the home of a busy upstream says nothing.
+/// A home entry that does not reply within this time is overloaded, partitioned
+/// or gone. The network takes a few milliseconds between hosts; a host with a
+/// tenth of a core as a quota of 10 ms in each 100 ms may pause for 90 ms.
+constexpr milliseconds kHomeTimeout{ 110 };
+/// The same while slot requests are slow in general and the upstream is not in
+/// demand: the reply is then more likely delayed in a queue than lost, and the
+/// upstream is likely to have room.
+constexpr milliseconds kShortHomeTimeout{ 50 };
+/// Sent to a caller if the home entry of an upstream in demand does not answer.
 constexpr milliseconds kBusyRetryAfter{ 150 };
-/// A timer that is so late tells of a pause of this host.
-constexpr milliseconds kOwnPause{ 10 };
-/// How long a home without state is left alone: it has some soon.
-constexpr milliseconds kDeclinedFor{ 60 };
-/// How long a silent home is left alone.
-constexpr milliseconds kLeftAlone{ 400 };
+/// A timer that fires this late indicates that this host was paused.
+constexpr milliseconds kPauseThreshold{ 10 };
+/// Time for which a home entry that declined gets no slot requests: it soon has
+/// the state.
+constexpr milliseconds kDeclinedBackoff{ 60 };
+/// Time for which an unresponsive home entry gets no slot requests.
+constexpr milliseconds kUnresponsiveBackoff{ 400 };
 
 milliseconds
 Ms(Duration aTime)
@@ -63,19 +64,20 @@
 }
 
 SlotRequest
-FromWire(const wire::SlotAsk& aAsk)
+FromWire(const wire::SlotAsk& aRequest)
 {
   SlotRequest request;
-  request.key = { aAsk.session(), aAsk.ticket() };
-  request.service = aAsk.service();
-  request.instance = aAsk.instance();
-  request.excluded.insert(aAsk.excluded().begin(), aAsk.excluded().end());
-  request.group = aAsk.group();
-  request.priority = aAsk.priority();
-  request.maxWait = milliseconds{ aAsk.patience_ms() };
-  request.timeToObjective = milliseconds{ aAsk.aim_ms() };
-  request.maxHold = milliseconds{ aAsk.held_ms() };
-  request.dataCentre = DataCentre{ aAsk.data_centre() };
+  request.key = { aRequest.session(), aRequest.ticket() };
+  request.service = aRequest.service();
+  request.instance = aRequest.instance();
+  request.excluded.insert(aRequest.excluded().begin(),
+                          aRequest.excluded().end());
+  request.group = aRequest.group();
+  request.priority = aRequest.priority();
+  request.maxWait = milliseconds{ aRequest.patience_ms() };
+  request.timeToObjective = milliseconds{ aRequest.aim_ms() };
+  request.maxHold = milliseconds{ aRequest.held_ms() };
+  request.dataCentre = DataCentre{ aRequest.data_centre() };
   return request;
 }
 
@@ -107,11 +109,12 @@
   for (const auto& [address, member] : aState.Entries()) {
     AddEntry(address);
   }
-  mLine.SetEntries(mEntries.size());
-  ForgetAskers(aState);
+  mLimiter.SetEntryCount(mEntries.size());
+  RemoveStaleRequesters(aState);
   Deliver(mBroker.Update(aState, mClock.Now()));
-  // This host may have just started, and has missed changes in any case.
-  HoldOffNewCold({});
+  // This host may have just started, and a snapshot does not show when it
+  // became the home entry of an upstream.
+  PauseNewlyHomedCold({});
 }
 
 void
@@ -131,25 +134,25 @@
       Deliver(mBroker.Update(aState, aCommand.end_instance().id(), now));
       return;
     case wire::GatewayCommand::kPutEntry: {
-      const std::vector<std::string> before = ColdHere();
+      const std::vector<std::string> before = ColdUpstreamsHomedHere();
       AddEntry(aCommand.put_entry().entry().address());
-      mLine.SetEntries(mEntries.size());
-      HoldOffNewCold(before);
+      mLimiter.SetEntryCount(mEntries.size());
+      PauseNewlyHomedCold(before);
       return;
     }
     case wire::GatewayCommand::kDropEntry: {
-      const std::vector<std::string> before = ColdHere();
+      const std::vector<std::string> before = ColdUpstreamsHomedHere();
       DropEntry(aCommand.drop_entry().address());
-      mLine.SetEntries(mEntries.size());
-      ForgetAskers(aState);
-      HoldOffNewCold(before);
+      mLimiter.SetEntryCount(mEntries.size());
+      RemoveStaleRequesters(aState);
+      PauseNewlyHomedCold(before);
       return;
     }
     case wire::GatewayCommand::kEvacuateDataCentre:
       Deliver(mBroker.Update(aState, now));
       return;
     case wire::GatewayCommand::kChangeItems:
-      // A service may own keys now, or no more.
+      // The instances of a service may have started or stopped owning keys.
       if (aCommand.change_items().services_size() > 0 ||
           aCommand.change_items().dropped_services_size() > 0) {
         Deliver(mBroker.Update(aState, now));
@@ -160,18 +163,18 @@
   }
 }
 
-/// Sessions of entries that are gone ask nothing any more.
+/// Removes the sessions of entries that have left the state.
 void
-SlotCoordinator::ForgetAskers(const State& aState)
+SlotCoordinator::RemoveStaleRequesters(const State& aState)
 {
-  std::erase_if(mAskers, [&](const auto& aAsker) {
-    return !aState.Entries().contains(aAsker.second) &&
-           !mBroker.HasRequestOf(aAsker.first);
+  std::erase_if(mReplyAddresses, [&](const auto& aItem) {
+    return !aState.Entries().contains(aItem.second) &&
+           !mBroker.HasRequestsOf(aItem.first);
   });
 }
 
 asio::awaitable<void>
-SlotCoordinator::WaitFor(std::shared_ptr<Pending> aPending, Instant aUntil)
+SlotCoordinator::WaitUntil(std::shared_ptr<Pending> aPending, Instant aUntil)
 {
   const Duration left = aUntil - mClock.Now();
   if (left <= Duration::zero()) {
@@ -181,32 +184,33 @@
   co_await aPending->context->Wake().async_wait(kAwait);
 }
 
-/// Waits for any answer of the home.
+/// Waits for the first reply of the home entry.
 asio::awaitable<void>
-SlotCoordinator::AwaitSign(std::shared_ptr<Pending> aPending, Instant aUntil)
+SlotCoordinator::AwaitFirstReply(std::shared_ptr<Pending> aPending,
+                                 Instant aUntil)
 {
-  const auto heard = [&] {
+  const auto hasReply = [&] {
     return aPending->outcome || aPending->queued || aPending->declined ||
            aPending->context->IsOver();
   };
-  while (!heard() && mClock.Now() < aUntil) {
-    co_await WaitFor(aPending, aUntil);
-  }
-  // Safeguard: a host that was paused itself finds the time over before it has
-  // read what came meanwhile. The home would be taken for silent, and a slot
-  // that it gave be left unused.
-  if (!heard() && mClock.Now() - aUntil >= Duration(kOwnPause)) {
-    const Instant again = mClock.Now() + Duration(kOwnPause);
-    while (!heard() && mClock.Now() < again) {
-      co_await WaitFor(aPending, again);
+  while (!hasReply() && mClock.Now() < aUntil) {
+    co_await WaitUntil(aPending, aUntil);
+  }
+  // After a pause of this host, the timeout is over before replies that arrived
+  // meanwhile are read. Without more time, the home entry would be taken for
+  // unresponsive, and a slot that it granted would stay unused.
+  if (!hasReply() && mClock.Now() - aUntil >= Duration(kPauseThreshold)) {
+    const Instant graceEnd = mClock.Now() + Duration(kPauseThreshold);
+    while (!hasReply() && mClock.Now() < graceEnd) {
+      co_await WaitUntil(aPending, graceEnd);
     }
   }
 }
 
 asio::awaitable<void>
-SlotCoordinator::AskHome(std::shared_ptr<Pending> aPending,
-                         std::string aHome,
-                         const SlotRequest& aRequest)
+SlotCoordinator::RequestFromHome(std::shared_ptr<Pending> aPending,
+                                 std::string aHome,
+                                 const SlotRequest& aRequest)
 {
   wire::GatewayFrame frame;
   wire::SlotAsk* ask = frame.mutable_slot_ask();
@@ -225,121 +229,127 @@
     std::max<int64_t>(Ms(aRequest.timeToObjective).count(), int64_t{ 1 }));
   ask->set_held_ms(Ms(aRequest.maxHold).count());
   ask->set_data_centre(aRequest.dataCentre.value);
-  const Instant asked = mClock.Now();
-  aPending->asked = true;
+  const Instant sentAt = mClock.Now();
+  aPending->sentToHome = true;
   mSend(HostName{ aHome }, frame);
-  const bool soon = mAsksAreSlow && aPending->calm;
-  co_await AwaitSign(aPending,
-                     asked + Duration(soon ? kSlowSilence : kHomeSilence));
-  NoteAskTime(mClock.Now() - asked);
+  const bool useShortTimeout = mHomesAreSlow && aPending->mayBypassHome;
+  co_await AwaitFirstReply(
+    aPending,
+    sentAt + Duration(useShortTimeout ? kShortHomeTimeout : kHomeTimeout));
+  RecordHomeLatency(mClock.Now() - sentAt);
   if (aPending->declined) {
-    mSilentUntil[aHome] = mClock.Now() + Duration(kDeclinedFor);
+    mUnresponsiveUntil[aHome] = mClock.Now() + Duration(kDeclinedBackoff);
     co_return;
   }
   if (!aPending->outcome && !aPending->queued && !aPending->context->IsOver()) {
-    mSilentUntil[aHome] = mClock.Now() + Duration(kLeftAlone);
+    mUnresponsiveUntil[aHome] = mClock.Now() + Duration(kUnresponsiveBackoff);
     log::Line(log::Part::Entry, log::Severity::Info)
-      << "slots' home " << aHome << " is silent; goes by itself for "
-      << kLeftAlone.count() << " ms";
+      << "home entry of slots " << aHome
+      << " is silent; choosing upstreams without it for "
+      << kUnresponsiveBackoff.count() << " ms";
     co_return;
   }
-  // The home ends its wait, at the latest when no answer can come in time.
-  const Instant end = asked + aRequest.maxHold;
+  // The home entry ends the wait, at the latest when no answer can arrive
+  // before the deadline.
+  const Instant end = sentAt + aRequest.maxHold;
   while (!aPending->outcome && !aPending->context->IsOver() &&
          mClock.Now() < end) {
-    co_await WaitFor(aPending, end);
+    co_await WaitUntil(aPending, end);
   }
 }
 
 asio::awaitable<bool>
-SlotCoordinator::AwaitTurn(std::shared_ptr<Pending> aPending,
-                           const SlotRequest& aRequest)
+SlotCoordinator::AwaitAdmission(std::shared_ptr<Pending> aPending,
+                                const SlotRequest& aRequest)
 {
   const uint64_t ticket = aRequest.key.ticket;
-  const Instant entered = mClock.Now();
-  const Instant end = entered + aRequest.maxWait;
-  SlotRequestLimiter::Verdict verdict =
-    mLine.Enter(ticket, aRequest.instance, aRequest.priority, entered);
-  if (std::holds_alternative<SlotRequestLimiter::MustWait>(verdict)) {
-    while (!aPending->turn && !aPending->context->IsOver() &&
+  const Instant enteredAt = mClock.Now();
+  const Instant end = enteredAt + aRequest.maxWait;
+  SlotRequestLimiter::Decision decision =
+    mLimiter.Admit(ticket, aRequest.instance, aRequest.priority, enteredAt);
+  if (std::holds_alternative<SlotRequestLimiter::Queued>(decision)) {
+    while (!aPending->decision && !aPending->context->IsOver() &&
            mClock.Now() < end) {
-      co_await WaitFor(aPending, end);
+      co_await WaitUntil(aPending, end);
     }
-    if (!aPending->turn) {
-      mLine.Leave(ticket, aRequest.instance);
+    if (!aPending->decision) {
+      mLimiter.Cancel(ticket, aRequest.instance);
       aPending->outcome = SlotUnavailable{ UpstreamSet::UnavailableReason::Full,
-                                           Duration(kLeftAlone) };
+                                           Duration(kUnresponsiveBackoff) };
       co_return false;
     }
-    verdict = *aPending->turn;
+    decision = *aPending->decision;
   }
-  if (const auto* full = std::get_if<SlotRequestLimiter::IsFull>(&verdict)) {
-    aPending->outcome =
-      SlotUnavailable{ UpstreamSet::UnavailableReason::Full, full->retryAfter };
+  if (const auto* rejected =
+        std::get_if<SlotRequestLimiter::Rejected>(&decision)) {
+    aPending->outcome = SlotUnavailable{ UpstreamSet::UnavailableReason::Full,
+                                         rejected->retryAfter };
     co_return false;
   }
   co_return true;
 }
 
 asio::awaitable<void>
-SlotCoordinator::AskInTurn(std::shared_ptr<Pending> aPending,
-                           std::string aHome,
-                           SlotRequest aRequest)
+SlotCoordinator::RequestFromHomeLimited(std::shared_ptr<Pending> aPending,
+                                        std::string aHome,
+                                        SlotRequest aRequest)
 {
   const Instant end = mClock.Now() + aRequest.maxWait;
-  if (!co_await AwaitTurn(aPending, aRequest)) {
+  if (!co_await AwaitAdmission(aPending, aRequest)) {
     co_return;
   }
-  // While it waited, the home may have been found to be silent.
-  if (!aPending->context->IsOver() && !IsSilent(aHome)) {
+  // The home entry may have become unresponsive during the wait.
+  if (!aPending->context->IsOver() && !IsUnresponsive(aHome)) {
     const Duration left = std::max(end - mClock.Now(), Duration::zero());
     aRequest.timeToObjective -=
       std::min(aRequest.maxWait - left, aRequest.timeToObjective);
     aRequest.maxHold -= std::min(aRequest.maxWait - left, aRequest.maxHold);
     aRequest.maxWait = left;
-    co_await AskHome(aPending, aHome, aRequest);
+    co_await RequestFromHome(aPending, aHome, aRequest);
   }
-  EndTurn(*aPending, aRequest);
+  ReportToLimiter(*aPending, aRequest);
 }
 
 void
-SlotCoordinator::EndTurn(const Pending& aPending, const SlotRequest& aRequest)
+SlotCoordinator::ReportToLimiter(const Pending& aPending,
+                                 const SlotRequest& aRequest)
 {
   if (aPending.queued) {
-    return; // Its turn ended when the home took it into its queue.
+    return; // OnQueued has been called when the home entry queued the request.
   }
   if (!aPending.outcome) {
-    Tell(mLine.OnGivenUp(aRequest.instance));
+    ApplyDecisions(mLimiter.OnUnanswered(aRequest.instance));
   } else if (const auto* none =
                std::get_if<SlotUnavailable>(&*aPending.outcome)) {
-    Tell(mLine.OnRefused(
+    ApplyDecisions(mLimiter.OnRefused(
       aRequest.instance, aRequest.priority, none->retryAfter, mClock.Now()));
   } else {
-    Tell(mLine.OnGranted(aRequest.instance));
+    ApplyDecisions(mLimiter.OnGranted(aRequest.instance));
   }
 }
 
 void
-SlotCoordinator::Tell(const std::vector<SlotRequestLimiter::Turn>& aTurns)
+SlotCoordinator::ApplyDecisions(
+  const std::vector<SlotRequestLimiter::QueuedDecision>& aDecisions)
 {
-  for (const SlotRequestLimiter::Turn& turn : aTurns) {
-    const auto found = mPending.find(turn.ticket);
+  for (const SlotRequestLimiter::QueuedDecision& decision : aDecisions) {
+    const auto found = mPending.find(decision.ticket);
     if (found != mPending.end()) {
-      found->second->turn = turn.verdict;
+      found->second->decision = decision.decision;
       found->second->context->Wake().cancel();
     }
   }
 }
 
 asio::awaitable<void>
-SlotCoordinator::AskHere(std::shared_ptr<Pending> aPending,
-                         const SlotRequest& aRequest)
+SlotCoordinator::RequestLocally(std::shared_ptr<Pending> aPending,
+                                const SlotRequest& aRequest)
 {
   const Instant end = mClock.Now() + aRequest.maxHold;
-  Deliver(mBroker.Ask(aRequest, mClock.Now()));
+  Deliver(mBroker.Acquire(aRequest, mClock.Now()));
   while (!aPending->outcome && !aPending->context->IsOver() &&
          mClock.Now() < end) {
-    co_await WaitFor(aPending, end);
+    co_await WaitUntil(aPending, end);
   }
 }
 
@@ -349,38 +359,39 @@
 {
   const UpstreamSet& upstreams = mBroker.Upstreams();
   aRequest.group = aRequest.instance.empty()
-                     ? upstreams.DrawGroup(aRequest.service, mRandom())
+                     ? upstreams.PickGroup(aRequest.service, mRandom())
                      : upstreams.GroupOf(aRequest.instance);
-  aRequest.direct = ChoosesDirect(aRequest);
-  aRequest.calm = aRequest.instance.empty() || NoteWanted(aRequest.instance);
+  aRequest.direct = ShouldChooseDirect(aRequest);
+  aRequest.mayBypassHome =
+    aRequest.instance.empty() || RecordRequest(aRequest.instance);
   const std::string home =
     aRequest.direct ? std::string() : HomeOf(aRequest.service, aRequest.group);
-  const bool askHome = !home.empty() && home != mSelf && !IsSilent(home);
+  const bool askHome = !home.empty() && home != mSelf && !IsUnresponsive(home);
   std::optional<SlotOutcome> outcome;
   if (askHome) {
     outcome = co_await AcquireFrom(home, aContext, aRequest);
   }
   const auto* slot = outcome ? std::get_if<Slot>(&*outcome) : nullptr;
   if (slot != nullptr && slot->address.empty()) {
-    // Safeguard: a home that was cut off may not know yet that an upstream
-    // leaves. What this host knows itself goes first: a leaving upstream that
-    // gets new work may end while it runs.
+    // A home entry that was partitioned may not know yet that an upstream is
+    // draining. This host knows it, and its knowledge takes precedence: a
+    // draining upstream that gets new work may end while it runs it.
     Release(*slot, AttemptOutcome::Abandoned, {});
     aRequest.excluded.insert(slot->instance);
     outcome.reset();
   }
   if (!outcome && !aContext->IsOver()) {
-    aRequest.alone = !home.empty() && home != mSelf;
-    if (aRequest.alone && !aRequest.calm) {
+    aRequest.uncoordinated = !home.empty() && home != mSelf;
+    if (aRequest.uncoordinated && !aRequest.mayBypassHome) {
       co_return SlotUnavailable{ UpstreamSet::UnavailableReason::Full,
                                  Duration(kBusyRetryAfter) };
     }
-    aRequest.cold =
-      home.empty() || MayKeepCold(aRequest.service, aRequest.group);
+    aRequest.mayUseCold =
+      home.empty() || MayAllocateCold(aRequest.service, aRequest.group);
     outcome = co_await AcquireFrom({}, aContext, aRequest);
   }
   co_return outcome.value_or(SlotUnavailable{
-    UpstreamSet::UnavailableReason::Full, Duration(kLeftAlone) });
+    UpstreamSet::UnavailableReason::Full, Duration(kUnresponsiveBackoff) });
 }
 
 asio::awaitable<std::optional<SlotOutcome>>
@@ -392,27 +403,28 @@
   aRequest.key = { mSession, ticket };
   auto pending = std::make_shared<Pending>();
   pending->instance = aRequest.instance;
-  pending->calm = aRequest.calm;
+  pending->mayBypassHome = aRequest.mayBypassHome;
   pending->context = std::move(aContext);
   mPending[ticket] = pending;
   if (aHome.empty()) {
-    co_await AskHere(pending, aRequest);
+    co_await RequestLocally(pending, aRequest);
   } else if (!aRequest.instance.empty()) {
-    co_await AskInTurn(pending, aHome, aRequest);
+    co_await RequestFromHomeLimited(pending, aHome, aRequest);
   } else {
-    co_await AskHome(pending, aHome, aRequest);
+    co_await RequestFromHome(pending, aHome, aRequest);
   }
   mPending.erase(ticket);
   if (!pending->outcome) {
-    // The caller left, or the answer is late: the slot may still be granted.
-    if (aHome.empty() || pending->asked) {
+    // The caller disconnected, or the answer is late: the slot may still be
+    // granted.
+    if (aHome.empty() || pending->sentToHome) {
       Release(Slot{ ticket, aHome, {}, {} }, AttemptOutcome::Abandoned, {});
     }
-    const bool silent = !pending->queued;
-    co_return silent
-      ? std::nullopt
-      : std::optional<SlotOutcome>(SlotUnavailable{
-          UpstreamSet::UnavailableReason::Full, Duration(kLeftAlone) });
+    const bool unanswered = !pending->queued;
+    co_return unanswered ? std::nullopt
+                         : std::optional<SlotOutcome>(SlotUnavailable{
+                             UpstreamSet::UnavailableReason::Full,
+                             Duration(kUnresponsiveBackoff) });
   }
   if (auto* slot = std::get_if<Slot>(&*pending->outcome)) {
     slot->home = aHome;
@@ -424,61 +436,64 @@
 }
 
 void
-SlotCoordinator::Release(const Slot& aSlot, AttemptOutcome aEnd, Duration aTook)
+SlotCoordinator::Release(const Slot& aSlot,
+                         AttemptOutcome aOutcome,
+                         Duration aElapsed)
 {
   if (aSlot.home.empty()) {
-    Deliver(
-      mBroker.Done({ mSession, aSlot.ticket }, aEnd, aTook, mClock.Now()));
+    Deliver(mBroker.Release(
+      { mSession, aSlot.ticket }, aOutcome, aElapsed, mClock.Now()));
   } else {
-    SendDone(aSlot.home, aSlot.ticket, aEnd, aTook);
+    SendRelease(aSlot.home, aSlot.ticket, aOutcome, aElapsed);
   }
 }
 
 void
-SlotCoordinator::SendDone(const std::string& aHome,
-                          uint64_t aTicket,
-                          AttemptOutcome aEnd,
-                          Duration aTook)
+SlotCoordinator::SendRelease(const std::string& aHome,
+                             uint64_t aTicket,
+                             AttemptOutcome aOutcome,
+                             Duration aElapsed)
 {
   wire::GatewayFrame frame;
   wire::SlotDone* done = frame.mutable_slot_done();
   done->set_session(mSession);
   done->set_ticket(aTicket);
-  done->set_end(static_cast<uint32_t>(aEnd));
+  done->set_end(static_cast<uint32_t>(aOutcome));
   done->set_took_us(
-    std::chrono::duration_cast<std::chrono::microseconds>(aTook).count());
+    std::chrono::duration_cast<std::chrono::microseconds>(aElapsed).count());
   mSend(HostName{ aHome }, frame);
 }
 
 void
-SlotCoordinator::OnSlotRequest(const wire::SlotAsk& aAsk)
+SlotCoordinator::OnSlotRequest(const wire::SlotAsk& aRequest)
 {
-  mAskers[aAsk.session()] = aAsk.reply_to();
+  mReplyAddresses[aRequest.session()] = aRequest.reply_to();
   const UpstreamSet& upstreams = mBroker.Upstreams();
-  const bool known = aAsk.instance().empty()
-                       ? upstreams.HasInstances(aAsk.service())
-                       : !upstreams.ServiceOf(aAsk.instance()).empty();
+  const bool known = aRequest.instance().empty()
+                       ? upstreams.HasInstances(aRequest.service())
+                       : !upstreams.ServiceOf(aRequest.instance()).empty();
   if (!known) {
-    Decline(aAsk);
+    Decline(aRequest);
     return;
   }
-  SlotRequest request = FromWire(aAsk);
-  request.cold = MayKeepCold(request.service, request.group);
-  Deliver(mBroker.Ask(request, mClock.Now()));
+  SlotRequest request = FromWire(aRequest);
+  request.mayUseCold = MayAllocateCold(request.service, request.group);
+  Deliver(mBroker.Acquire(request, mClock.Now()));
 }
 
-/// Safeguard: a home that has just started has no state yet, or hears later
-/// than others of a new upstream. A refusal of it would say that no upstream
-/// can run the request; the one who asks knows better, and goes by itself.
+/// Replies that this host does not know the upstream. A home entry that has
+/// just started has no state yet, or learns of a new upstream later than
+/// others. If it refused the request, that would mean that no upstream can run
+/// it; declined, the requesting entry sends it uncoordinated.
 void
-SlotCoordinator::Decline(const wire::SlotAsk& aAsk)
+SlotCoordinator::Decline(const wire::SlotAsk& aRequest)
 {
   wire::GatewayFrame frame;
   wire::SlotAnswer* answer = frame.mutable_slot_answer();
-  answer->set_session(aAsk.session());
-  answer->set_ticket(aAsk.ticket());
+  answer->set_session(aRequest.session());
+  answer->set_ticket(aRequest.ticket());
   answer->set_state(wire::SLOT_STATE_UNKNOWN);
-  mSend(HostName{ aAsk.reply_to() }, frame);
+  mSend(HostName{ aRequest.reply_to() }, frame);
 }
 
 void
@@ -488,10 +503,10 @@
     aDone.end() <= static_cast<uint32_t>(AttemptOutcome::Abandoned)
       ? static_cast<AttemptOutcome>(aDone.end())
       : AttemptOutcome::Abandoned;
-  Deliver(mBroker.Done({ aDone.session(), aDone.ticket() },
-                       end,
-                       std::chrono::microseconds{ aDone.took_us() },
-                       mClock.Now()));
+  Deliver(mBroker.Release({ aDone.session(), aDone.ticket() },
+                          end,
+                          std::chrono::microseconds{ aDone.took_us() },
+                          mClock.Now()));
 }
 
 void
@@ -503,19 +518,19 @@
   const SlotKey key{ aAnswer.session(), aAnswer.ticket() };
   switch (aAnswer.state()) {
     case wire::SLOT_STATE_GRANTED:
-      TakeOwn(key.ticket, SlotGranted{ key, aAnswer.instance(), {} });
+      ApplyAnswer(key.ticket, SlotGranted{ key, aAnswer.instance(), {} });
       return;
     case wire::SLOT_STATE_REFUSED:
-      TakeOwn(key.ticket,
-              SlotRefused{ key,
-                           UpstreamSet::UnavailableReason::Full,
-                           milliseconds{ aAnswer.retry_after_ms() } });
+      ApplyAnswer(key.ticket,
+                  SlotRefused{ key,
+                               UpstreamSet::UnavailableReason::Full,
+                               milliseconds{ aAnswer.retry_after_ms() } });
       return;
     case wire::SLOT_STATE_QUEUED:
-      TakeOwn(key.ticket, SlotQueued{ key });
+      ApplyAnswer(key.ticket, SlotQueued{ key });
       return;
     case wire::SLOT_STATE_UNKNOWN:
-      NoteDeclined(key.ticket);
+      OnDeclined(key.ticket);
       return;
     default:
       return;
@@ -523,26 +538,26 @@
 }
 
 void
-SlotCoordinator::TakeOwn(uint64_t aTicket, const SlotAnswer& aAnswer)
+SlotCoordinator::ApplyAnswer(uint64_t aTicket, const SlotAnswer& aAnswer)
 {
   const auto found = mPending.find(aTicket);
   if (found == mPending.end()) {
-    return; // Its end has been, or is being, told to the keeper.
+    return; // The slot has been, or is being, released.
   }
   Pending& pending = *found->second;
   if (const auto* granted = std::get_if<SlotGranted>(&aAnswer)) {
     pending.outcome = Slot{ aTicket, {}, granted->instance, granted->address };
   } else if (const auto* refused = std::get_if<SlotRefused>(&aAnswer)) {
     pending.outcome = SlotUnavailable{ refused->reason, refused->retryAfter };
-  } else if (!std::exchange(pending.queued, true) && pending.asked &&
+  } else if (!std::exchange(pending.queued, true) && pending.sentToHome &&
              !pending.instance.empty()) {
-    Tell(mLine.OnQueued(pending.instance));
+    ApplyDecisions(mLimiter.OnQueued(pending.instance));
   }
   pending.context->Wake().cancel();
 }
 
 void
-SlotCoordinator::NoteDeclined(uint64_t aTicket)
+SlotCoordinator::OnDeclined(uint64_t aTicket)
 {
   const auto found = mPending.find(aTicket);
   if (found != mPending.end()) {
@@ -564,14 +579,14 @@
 {
   const SlotKey key = KeyOf(aAnswer);
   if (key.session == mSession) {
-    TakeOwn(key.ticket, aAnswer);
+    ApplyAnswer(key.ticket, aAnswer);
     return;
   }
-  const auto asker = mAskers.find(key.session);
-  if (asker != mAskers.end()) {
+  const auto replyTo = mReplyAddresses.find(key.session);
+  if (replyTo != mReplyAddresses.end()) {
     wire::GatewayFrame frame;
     *frame.mutable_slot_answer() = ToWire(aAnswer);
-    mSend(HostName{ asker->second }, frame);
+    mSend(HostName{ replyTo->second }, frame);
   }
 }
 
@@ -579,9 +594,9 @@
 SlotCoordinator::Tick()
 {
   Deliver(mBroker.Tick(mClock.Now()));
-  mLine.Sweep(mClock.Now());
-  std::erase_if(mWantedAt, [&](const auto& aWanted) {
-    return mClock.Now() - aWanted.second >= Duration(kCalmAfter);
+  mLimiter.RemoveIdle(mClock.Now());
+  std::erase_if(mLastRequestAt, [&](const auto& aItem) {
+    return mClock.Now() - aItem.second >= Duration(kBypassInterval);
   });
 }
 
--- a/src/librattandyke/gateway/slot_coordinator.h
+++ b/src/librattandyke/gateway/slot_coordinator.h
@@ -1,4 +1,4 @@
-/// An entry host's dealings with other entries about upstreams' slots.
+/// Acquisition of upstream slots from the entry hosts that allocate them.
 #pragma once
 
 #include <functional>
@@ -20,19 +20,19 @@
 
 namespace rattandyke::gateway {
 
-/// A slot that a request has.
+/// An upstream slot granted to a request.
 struct Slot
 {
   uint64_t ticket = 0;
-  /// Entry host that keeps it; empty: this one.
+  /// Entry host that allocated the slot; empty: this host.
   std::string home;
   std::string instance;
   std::string address;
-  /// Of the instance's process.
+  /// Incarnation of the instance.
   uint64_t incarnation = 0;
 };
 
-/// Why a request has none.
+/// Reason for which a request got no slot.
 struct SlotUnavailable
 {
   UpstreamSet::UnavailableReason reason = UpstreamSet::UnavailableReason::Full;
@@ -41,12 +41,17 @@
 
 using SlotOutcome = std::variant<Slot, SlotUnavailable>;
 
-/// Each upstream's slots are kept by one entry host, its home, which all hosts
-/// find by the replicated list of entries. A request asks the home of the
-/// upstream that owns its key, or the home of a group of its service's
-/// upstreams. While a home is silent, the entry goes by what it knows itself:
-/// the loss of a home costs some order, and no service. Runs on one executor
-/// that runs one handler at a time.
+/// Acquires upstream slots for the requests of this entry host, and allocates
+/// slots to other entry hosts for the upstreams of which this host is the home
+/// entry.
+///
+/// The home entry of an upstream allocates all its slots. Every entry host
+/// derives it from the replicated list of entries. A request with a key gets
+/// its slot from the home entry of the key's owner; another one from the home
+/// entry of a group of its service's upstreams. While a home entry does not
+/// answer, this host sends uncoordinated, by what it knows itself: without a
+/// home entry, upstreams are loaded less evenly, but requests are served. Runs
+/// on one executor that runs one handler at a time.
 class SlotCoordinator
 {
 public:
@@ -56,7 +61,7 @@
 
   /// @param aSelf   this host's address for peers.
   /// @param aSession random per process start.
-  /// @param aStateAge time since this host was assured of the state.
+  /// @param aStateAge time since this host's state was known to be up to date.
   SlotCoordinator(boost::asio::any_io_executor aExecutor,
                   std::string aSelf,
                   uint64_t aSession,
@@ -66,45 +71,51 @@
                   const UpstreamSet::Options& aOptions,
                   StateAge aStateAge);
 
-  /// The replicated state was replaced as a whole.
+  /// The replicated state was replaced by a snapshot.
   void StateChanged(const State& aState);
 
-  /// One command was applied to it: costs what the command changes, as a fleet
-  /// that starts or is replaced brings a command for each host and upstream.
+  /// One command was applied to the state. The cost depends only on what the
+  /// command changes: a fleet that starts or is replaced causes a command for
+  /// each host and upstream.
   void StateChanged(const State& aState, const wire::GatewayCommand& aCommand);
 
-  void OnSlotRequest(const wire::SlotAsk& aAsk);
+  void OnSlotRequest(const wire::SlotAsk& aRequest);
   void OnSlotAnswer(const wire::SlotAnswer& aAnswer);
   void OnSlotRelease(const wire::SlotDone& aDone);
 
-  /// @param aRequest its key is set here.
+  /// Acquires a slot, from the home entry or on this host.
+  /// @param aRequest the key, group and the flags after dataCentre are set
+  /// here.
   boost::asio::awaitable<SlotOutcome> Acquire(
     std::shared_ptr<RequestContext> aContext,
     SlotRequest aRequest);
 
-  void Release(const Slot& aSlot, AttemptOutcome aEnd, Duration aTook);
+  /// Returns a slot to the host that allocated it.
+  /// @param aElapsed time since the request was sent to the upstream.
+  void Release(const Slot& aSlot, AttemptOutcome aOutcome, Duration aElapsed);
 
-  /// An upstream has told its load.
+  /// Records a load report of an upstream.
   void RecordLoadReport(const std::string& aInstance, const LoadReport& aLoad)
   {
     mBroker.RecordLoadReport(aInstance, aLoad, mClock.Now());
   }
 
-  /// Call it every SlotBroker::kTick.
+  /// Ends expired waits and slots. Must be called every SlotBroker::kTick.
   void Tick();
 
   const SlotBroker& Broker() const { return mBroker; }
 
-  /// UpstreamSet::TakeChangedResponseSeconds.
+  /// See UpstreamSet::TakeChangedResponseSeconds.
   std::map<std::string, double> TakeChangedResponseSeconds()
   {
     return mBroker.TakeChangedResponseSeconds();
   }
 
 private:
-  /// An upstream that a host has wanted within this time may be one that all
-  /// hosts want, if there are more hosts than it has places.
-  static constexpr std::chrono::milliseconds kCalmAfter{ 1000 };
+  /// An upstream for which this host had another request within this time may
+  /// be in demand on all hosts, and there may be more hosts than the upstream
+  /// can queue requests.
+  static constexpr std::chrono::milliseconds kBypassInterval{ 1000 };
 
   struct Entry
   {
@@ -112,70 +123,80 @@
     uint64_t hash = 0;
   };
 
+  /// A request of this host that waits for a slot.
   struct Pending
   {
     std::shared_ptr<RequestContext> context;
-    /// The one upstream that it wants; empty: any.
+    /// The only upstream allowed; empty: any.
     std::string instance;
+    /// The home entry, or this host's broker, has queued the request.
     bool queued = false;
-    /// Its home does not know such upstreams.
+    /// The home entry does not know such upstreams.
     bool declined = false;
-    /// Whether its home has been asked.
-    bool asked = false;
-    /// It may do without its home if that takes long.
-    bool calm = false;
-    /// What the line said to the request while it waited.
-    std::optional<SlotRequestLimiter::Verdict> turn;
+    /// The request was sent to the home entry.
+    bool sentToHome = false;
+    /// See SlotRequest::mayBypassHome.
+    bool mayBypassHome = false;
+    /// The limiter's decision on the request after it was queued there.
+    std::optional<SlotRequestLimiter::Decision> decision;
     std::optional<SlotOutcome> outcome;
   };
 
-  /// @return the outcome; nothing if the home kept silent.
+  /// Acquires a slot from one host.
+  /// @param aHome home entry; empty: this host.
+  /// @return the outcome; nothing if the home entry did not answer.
   boost::asio::awaitable<std::optional<SlotOutcome>> AcquireFrom(
     std::string aHome,
     std::shared_ptr<RequestContext> aContext,
     SlotRequest aRequest);
   void AddEntry(const std::string& aAddress);
   void DropEntry(const std::string& aAddress);
-  void ForgetAskers(const State& aState);
+  void RemoveStaleRequesters(const State& aState);
   std::string HomeOf(const std::string& aService, uint32_t aGroup) const;
-  /// @return whether this host chooses an upstream by itself.
-  bool ChoosesDirect(const SlotRequest& aRequest);
-  void NoteAskTime(Duration aTime);
-  /// A request wants a slot of one upstream.
-  /// @return whether this host may send it one request without its home.
-  bool NoteWanted(const std::string& aInstance);
+  /// @return whether to choose an upstream from load reports, without its home
+  /// entry.
+  bool ShouldChooseDirect(const SlotRequest& aRequest);
+  void RecordHomeLatency(Duration aTime);
+  /// Records a request for a slot of one upstream.
+  /// @return whether this host may send it without an answer of the home entry.
+  bool RecordRequest(const std::string& aInstance);
   bool IsHomeOf(const std::string& aInstance) const;
-  std::vector<std::string> ColdHere() const;
-  void HoldOffNewCold(const std::vector<std::string>& aBefore);
-  bool MayKeepCold(const std::string& aService, uint32_t aGroup) const;
-  bool IsSilent(const std::string& aHome) const;
-  boost::asio::awaitable<void> AwaitSign(std::shared_ptr<Pending> aPending,
+  std::vector<std::string> ColdUpstreamsHomedHere() const;
+  void PauseNewlyHomedCold(const std::vector<std::string>& aBefore);
+  bool MayAllocateCold(const std::string& aService, uint32_t aGroup) const;
+  bool IsUnresponsive(const std::string& aHome) const;
+  boost::asio::awaitable<void> AwaitFirstReply(
+    std::shared_ptr<Pending> aPending,
+    Instant aUntil);
+  boost::asio::awaitable<void> RequestFromHome(
+    std::shared_ptr<Pending> aPending,
+    std::string aHome,
+    const SlotRequest& aRequest);
+  /// Waits until the limiter admits or rejects the request.
+  /// @return whether the request may be sent to the home entry; if not, its
+  /// outcome is set.
+  boost::asio::awaitable<bool> AwaitAdmission(std::shared_ptr<Pending> aPending,
+                                              const SlotRequest& aRequest);
+  boost::asio::awaitable<void> RequestFromHomeLimited(
+    std::shared_ptr<Pending> aPending,
+    std::string aHome,
+    SlotRequest aRequest);
+  void ReportToLimiter(const Pending& aPending, const SlotRequest& aRequest);
+  void ApplyDecisions(
+    const std::vector<SlotRequestLimiter::QueuedDecision>& aDecisions);
+  boost::asio::awaitable<void> RequestLocally(std::shared_ptr<Pending> aPending,
+                                              const SlotRequest& aRequest);
+  boost::asio::awaitable<void> WaitUntil(std::shared_ptr<Pending> aPending,
                                          Instant aUntil);
-  boost::asio::awaitable<void> AskHome(std::shared_ptr<Pending> aPending,
-                                       std::string aHome,
-                                       const SlotRequest& aRequest);
-  /// Waits for a turn to ask the home of the request's one upstream.
-  /// @return whether it may ask now; if not, it has its outcome or is over.
-  boost::asio::awaitable<bool> AwaitTurn(std::shared_ptr<Pending> aPending,
-                                         const SlotRequest& aRequest);
-  boost::asio::awaitable<void> AskInTurn(std::shared_ptr<Pending> aPending,
-                                         std::string aHome,
-                                         SlotRequest aRequest);
-  void EndTurn(const Pending& aPending, const SlotRequest& aRequest);
-  void Tell(const std::vector<SlotRequestLimiter::Turn>& aTurns);
-  boost::asio::awaitable<void> AskHere(std::shared_ptr<Pending> aPending,
-                                       const SlotRequest& aRequest);
-  boost::asio::awaitable<void> WaitFor(std::shared_ptr<Pending> aPending,
-                                       Instant aUntil);
   void Deliver(const std::vector<SlotAnswer>& aAnswers);
   void Deliver(const SlotAnswer& aAnswer);
-  void Decline(const wire::SlotAsk& aAsk);
-  void NoteDeclined(uint64_t aTicket);
-  void TakeOwn(uint64_t aTicket, const SlotAnswer& aAnswer);
-  void SendDone(const std::string& aHome,
-                uint64_t aTicket,
-                AttemptOutcome aEnd,
-                Duration aTook);
+  void Decline(const wire::SlotAsk& aRequest);
+  void OnDeclined(uint64_t aTicket);
+  void ApplyAnswer(uint64_t aTicket, const SlotAnswer& aAnswer);
+  void SendRelease(const std::string& aHome,
+                   uint64_t aTicket,
+                   AttemptOutcome aOutcome,
+                   Duration aElapsed);
 
   const boost::asio::any_io_executor mExecutor;
   const std::string mSelf;
@@ -185,19 +206,21 @@
   const StateAge mStateAge;
   Random mRandom;
   SlotBroker mBroker;
-  /// By address.
+  /// Sorted by address.
   std::vector<Entry> mEntries;
+  /// By ticket.
   std::map<uint64_t, std::shared_ptr<Pending>> mPending;
-  /// Where the sessions that ask here are reached.
-  std::map<uint64_t, std::string> mAskers;
-  std::map<std::string, Instant> mSilentUntil;
-  SlotRequestLimiter mLine;
-  /// Moving average of the time until a home says something.
-  Duration mAskTime{};
-  /// Asking takes so long that this host does without where it can.
-  bool mAsksAreSlow = false;
-  /// When a request last wanted a slot of an upstream.
-  std::map<std::string, Instant> mWantedAt;
+  /// Addresses of the entries that request slots here, by session.
+  std::map<uint64_t, std::string> mReplyAddresses;
+  /// Home entries that get no slot requests for now, by address.
+  std::map<std::string, Instant> mUnresponsiveUntil;
+  SlotRequestLimiter mLimiter;
+  /// Moving average of the time until a home entry's first reply.
+  Duration mHomeLatency{};
+  /// Slot requests take so long that this host avoids them where it can.
+  bool mHomesAreSlow = false;
+  /// Time of the last request for a slot of an upstream, by instance.
+  std::map<std::string, Instant> mLastRequestAt;
   uint64_t mLastTicket = 0;
 };
 
--- a/src/librattandyke/gateway/slot_coordinator_homes.cpp
+++ b/src/librattandyke/gateway/slot_coordinator_homes.cpp
@@ -1,4 +1,4 @@
-// Which host keeps an upstream's slots, and when a request does without it.
+// The home entry of an upstream, and the conditions for bypassing it.
 #include "gateway/slot_coordinator.h"
 
 #include <algorithm>
@@ -11,23 +11,25 @@
 
 using std::chrono::milliseconds;
 
-/// Older than this, a home's list of entries may be one in which it is home no
-/// more.
-constexpr milliseconds kAssuredHome{ 1000 };
-/// Asking a home is worth its time up to here: beyond, an upstream chosen by
-/// what the upstreams tell answers sooner, if it is not the best one.
-constexpr milliseconds kSlowAsk{ 20 };
-/// Down here again it is.
-constexpr milliseconds kQuickAsk{ 6 };
-/// Weight of the newest ask.
-constexpr double kNewestAsk = 0.05;
-/// One in so many requests asks all the same, so that the time is known.
-constexpr uint64_t kStillAsks = 32;
-/// Part of the requests to a service with cold upstreams that ask, for each
-/// part that is cold: homes alone know what a cold one may be sent.
-constexpr double kColdAsks = 0.6;
-/// So few hosts can't overrun an upstream with one request each.
-constexpr size_t kFewHosts = 16;
+/// With a list of entries older than this, a host may no longer be the home
+/// entry.
+constexpr milliseconds kMaxStateAge{ 1000 };
+/// Mean latency of slot requests above which they are slow: an upstream chosen
+/// from load reports then answers earlier, even if it is not the best one.
+constexpr milliseconds kSlowHomeLatency{ 20 };
+/// Mean latency at which slot requests are no longer slow.
+constexpr milliseconds kFastHomeLatency{ 6 };
+/// Weight of the newest latency in the moving average.
+constexpr double kLatencyWeight = 0.05;
+/// One in this many requests is sent to the home entry even while slot requests
+/// are slow, to measure the latency.
+constexpr uint64_t kHomeProbePeriod = 32;
+/// Fraction of the requests to a service that go to the home entry if all its
+/// upstreams are cold; proportionally less if fewer are. Only home entries know
+/// how many requests a cold upstream may get.
+constexpr double kColdHomeFraction = 0.6;
+/// This few hosts can't overload an upstream with one request each.
+constexpr size_t kFewEntries = 16;
 
 } // namespace
 
@@ -53,9 +55,10 @@
     mEntries, [&](const Entry& aEntry) { return aEntry.address == aAddress; });
 }
 
-/// The entry whose hash mixed with the group's is the highest: when an entry
-/// comes or goes, only the groups that it takes or leaves change their home.
-/// Each request finds one, so that entries' names are hashed only once.
+/// Rendezvous hashing: the home entry is the entry whose hash, mixed with that
+/// of the group, is the highest. When an entry is added or removed, only the
+/// groups that it gains or loses change their home entry. Since every request
+/// calls this, the hashes of the entries are stored.
 std::string
 SlotCoordinator::HomeOf(const std::string& aService, uint32_t aGroup) const
 {
@@ -81,9 +84,9 @@
          mSelf;
 }
 
-/// @return the cold upstreams of which this host is the home.
+/// @return the cold upstreams of which this host is the home entry.
 std::vector<std::string>
-SlotCoordinator::ColdHere() const
+SlotCoordinator::ColdUpstreamsHomedHere() const
 {
   std::vector<std::string> cold =
     mBroker.Upstreams().ColdInstances(mClock.Now());
@@ -91,78 +94,84 @@
   return cold;
 }
 
-/// Safeguard: the home before this one has sent a cold upstream as much as it
-/// bears in the last second. Sent as much again by its next home, it would
-/// crash. So a new home waits until that second has passed.
+/// Pauses sending to cold upstreams that have become homed on this host. The
+/// previous home entry may have sent such an upstream all requests that it
+/// bears in the last second, and as many again from this host would crash it.
+/// @param aBefore cold upstreams that were homed on this host before.
 void
-SlotCoordinator::HoldOffNewCold(const std::vector<std::string>& aBefore)
+SlotCoordinator::PauseNewlyHomedCold(const std::vector<std::string>& aBefore)
 {
-  std::vector<std::string> cold = ColdHere();
+  std::vector<std::string> cold = ColdUpstreamsHomedHere();
   std::erase_if(cold, [&](const auto& aId) {
     return std::find(aBefore.begin(), aBefore.end(), aId) != aBefore.end();
   });
-  mBroker.HoldOffCold(cold, mClock.Now());
+  mBroker.PauseCold(cold, mClock.Now());
 }
 
-/// Safeguard: a home that is cut off goes on after another has taken its place,
-/// for those that are cut off with it. Two homes would send a cold upstream
-/// twice what it bears. So only a host that is its home, and is assured of it,
-/// keeps the slots of a cold upstream; the list of entries leaves one out only
-/// after a longer silence than this.
+/// @return whether this host may allocate the slots of a group's cold
+/// upstreams: it must be the home entry by a list of entries that is up to
+/// date. A partitioned home entry continues to allocate slots for the entries
+/// on its side of the partition after another has replaced it, and two home
+/// entries would send a cold upstream twice what it bears. An entry is removed
+/// from the list only after being unreachable for longer than kMaxStateAge.
 bool
-SlotCoordinator::MayKeepCold(const std::string& aService, uint32_t aGroup) const
+SlotCoordinator::MayAllocateCold(const std::string& aService,
+                                 uint32_t aGroup) const
 {
-  return mStateAge() < Duration(kAssuredHome) &&
+  return mStateAge() < Duration(kMaxStateAge) &&
          HomeOf(aService, aGroup) == mSelf;
 }
 
 bool
-SlotCoordinator::IsSilent(const std::string& aHome) const
+SlotCoordinator::IsUnresponsive(const std::string& aHome) const
 {
-  const auto found = mSilentUntil.find(aHome);
-  return found != mSilentUntil.end() && mClock.Now() < found->second;
+  const auto found = mUnresponsiveUntil.find(aHome);
+  return found != mUnresponsiveUntil.end() && mClock.Now() < found->second;
 }
 
 void
-SlotCoordinator::NoteAskTime(Duration aTime)
+SlotCoordinator::RecordHomeLatency(Duration aTime)
 {
-  mAskTime += Scaled(aTime - mAskTime, kNewestAsk);
-  if (mAskTime >= Duration(kSlowAsk)) {
-    mAsksAreSlow = true;
-  } else if (mAskTime <= Duration(kQuickAsk)) {
-    mAsksAreSlow = false;
+  mHomeLatency += Scaled(aTime - mHomeLatency, kLatencyWeight);
+  if (mHomeLatency >= Duration(kSlowHomeLatency)) {
+    mHomesAreSlow = true;
+  } else if (mHomeLatency <= Duration(kFastHomeLatency)) {
+    mHomesAreSlow = false;
   }
 }
 
-/// A home knows all requests that its upstreams have, so that its choice is the
-/// best there is, for two messages before each request. On links that are busy
-/// these wait at four queues, longer than the better choice gains.
+/// A home entry knows all requests at its upstreams, so it makes the best
+/// choice, at the cost of two messages before each request. On busy links these
+/// messages wait in four queues, which costs more time than the better choice
+/// saves.
 bool
-SlotCoordinator::ChoosesDirect(const SlotRequest& aRequest)
+SlotCoordinator::ShouldChooseDirect(const SlotRequest& aRequest)
 {
   const UpstreamSet& upstreams = mBroker.Upstreams();
   const Instant now = mClock.Now();
-  if (!mAsksAreSlow || !aRequest.instance.empty() ||
-      !upstreams.TellsLoad(aRequest.service, now) ||
-      mRandom() % kStillAsks == 0) {
+  if (!mHomesAreSlow || !aRequest.instance.empty() ||
+      !upstreams.ReportsLoad(aRequest.service, now) ||
+      mRandom() % kHomeProbePeriod == 0) {
     return false;
   }
-  const double cold = upstreams.ColdPart(aRequest.service, now) * kColdAsks;
+  const double cold =
+    upstreams.ColdFraction(aRequest.service, now) * kColdHomeFraction;
   return static_cast<double>(mRandom() % 1024) >= cold * 1024;
 }
 
-/// Safeguard: while a key is busy, each of some tens of hosts that hear nothing
-/// of its home would send its owner a request. Those that find no place there
-/// never get an answer, and may not be sent again. A host that has wanted the
-/// owner a moment ago knows that it is busy, and leaves it to its home.
+/// While a key is hot and the home entry of its owner does not answer, each of
+/// some tens of hosts would send the owner a request. Requests beyond the
+/// owner's queue never get an answer and must not be sent again. A host that
+/// had another request for the owner within kBypassInterval assumes that it is
+/// in demand and does not bypass the home entry.
 bool
-SlotCoordinator::NoteWanted(const std::string& aInstance)
+SlotCoordinator::RecordRequest(const std::string& aInstance)
 {
   const Instant now = mClock.Now();
-  Instant& wantedAt = mWantedAt[aInstance];
-  const bool calm = now - wantedAt >= Duration(kCalmAfter);
-  wantedAt = now;
-  return calm || mEntries.size() <= kFewHosts;
+  Instant& lastRequestAt = mLastRequestAt[aInstance];
+  const bool isFirst = now - lastRequestAt >= Duration(kBypassInterval);
+  lastRequestAt = now;
+  return isFirst || mEntries.size() <= kFewEntries;
 }
 
 } // namespace rattandyke::gateway
--- a/src/librattandyke/gateway/slot_coordinator_test.cpp
+++ b/src/librattandyke/gateway/slot_coordinator_test.cpp
@@ -16,7 +16,7 @@
 namespace asio = boost::asio;
 using std::chrono::milliseconds;
 
-/// The system's clock, set forward by the test.
+/// The system clock plus an offset set by the test.
 class ShiftedClock final : public Clock
 {
 public:
@@ -29,11 +29,11 @@
   Duration mAhead{};
 };
 
-/// One desk, whose upstreams' home is another host that the test plays.
+/// A coordinator whose upstream is homed on another entry, played by the test.
 class SlotCoordinatorTest : public ::testing::Test
 {
 protected:
-  void Know(bool aDraining = false)
+  void LoadState(bool aDraining = false)
   {
     wire::GatewayCommand put;
     wire::UpstreamInstance* instance =
@@ -47,7 +47,7 @@
     wire::GatewayCommand entry;
     entry.mutable_put_entry()->mutable_entry()->set_address(kHome);
     Apply(entry);
-    desk.StateChanged(state);
+    coordinator.StateChanged(state);
   }
 
   void Apply(const wire::GatewayCommand& aCommand)
@@ -65,28 +65,28 @@
       request.maxHold = milliseconds{ 2000 };
       asio::co_spawn(
         context,
-        desk.Acquire(std::make_shared<RequestContext>(context.get_executor()),
-                     request),
+        coordinator.Acquire(
+          std::make_shared<RequestContext>(context.get_executor()), request),
         [this](const std::exception_ptr&, SlotOutcome aOutcome) {
           outcomes.push_back(std::move(aOutcome));
         });
     }
   }
 
-  /// The home's answer to the oldest ask.
+  /// Sends the home entry's answer to the oldest slot request.
   void Answer(wire::SlotState aState)
   {
     wire::SlotAnswer answer;
-    answer.set_session(asks.front().session());
-    answer.set_ticket(asks.front().ticket());
+    answer.set_session(requests.front().session());
+    answer.set_ticket(requests.front().ticket());
     answer.set_state(aState);
     answer.set_instance("i-1");
     answer.set_retry_after_ms(200);
-    asks.pop_front();
-    asio::post(context, [this, answer] { desk.OnSlotAnswer(answer); });
+    requests.pop_front();
+    asio::post(context, [this, answer] { coordinator.OnSlotAnswer(answer); });
   }
 
-  size_t Slots() const
+  size_t SlotCount() const
   {
     return static_cast<size_t>(
       std::count_if(outcomes.begin(), outcomes.end(), [](const auto& aOutcome) {
@@ -94,82 +94,84 @@
       }));
   }
 
-  void Sent(const wire::GatewayFrame& aFrame)
+  void OnSent(const wire::GatewayFrame& aFrame)
   {
     if (aFrame.has_slot_ask()) {
-      asks.push_back(aFrame.slot_ask());
-      ++asked;
-      if (answers) {
-        Answer(*answers);
+      requests.push_back(aFrame.slot_ask());
+      ++requestCount;
+      if (autoAnswer) {
+        Answer(*autoAnswer);
       }
     } else if (aFrame.has_slot_done()) {
-      ends.push_back(aFrame.slot_done());
+      releases.push_back(aFrame.slot_done());
     } else if (aFrame.has_slot_answer()) {
-      answered.push_back(aFrame.slot_answer());
+      sentAnswers.push_back(aFrame.slot_answer());
     }
   }
 
   static constexpr const char* kHome = "10.0.0.9:1";
-  static constexpr size_t kMostAtOnce = 64;
+  static constexpr size_t kMaxInFlight = 64;
   ShiftedClock clock;
   asio::io_context context;
   State state;
   uint64_t index = 0;
-  std::deque<wire::SlotAsk> asks;
-  size_t asked = 0;
-  /// What the home answers by itself.
-  std::optional<wire::SlotState> answers;
-  std::vector<wire::SlotDone> ends;
-  /// What this entry answers as a home.
-  std::vector<wire::SlotAnswer> answered;
+  std::deque<wire::SlotAsk> requests;
+  size_t requestCount = 0;
+  /// Answer that the home entry sends to each slot request; none: no answer.
+  std::optional<wire::SlotState> autoAnswer;
+  std::vector<wire::SlotDone> releases;
+  /// Answers that the coordinator sent as a home entry.
+  std::vector<wire::SlotAnswer> sentAnswers;
   std::vector<SlotOutcome> outcomes;
-  SlotCoordinator desk{
+  SlotCoordinator coordinator{ context.get_executor(),
+                               "10.0.0.1:1",
+                               77,
+                               [this](const HostName&,
+                                      const wire::GatewayFrame& aFrame) {
+                                 OnSent(aFrame);
+                               },
+                               clock,
+                               7,
+                               { std::chrono::seconds{ 2 } },
+                               [] { return Duration::zero(); } };
+};
+
+/// @return the home entry to which a coordinator sends a slot request.
+/// @param aSetup gives the coordinator its state.
+template<typename Setup>
+std::string
+RequestedHome(Setup aSetup)
+{
+  SystemClock clock;
+  asio::io_context context;
+  std::string home;
+  SlotCoordinator coordinator{
     context.get_executor(),
     "10.0.0.1:1",
     77,
-    [this](const HostName&, const wire::GatewayFrame& aFrame) { Sent(aFrame); },
+    [&](const HostName& aTo, const wire::GatewayFrame&) { home = aTo.value; },
     clock,
     7,
     { std::chrono::seconds{ 2 } },
     [] { return Duration::zero(); }
   };
-};
-
-/// @return the home that a desk asks for a slot of an upstream.
-template<typename Tell>
-std::string
-HomeAsked(Tell aTell)
-{
-  SystemClock clock;
-  asio::io_context context;
-  std::string home;
-  SlotCoordinator desk{ context.get_executor(),
-                        "10.0.0.1:1",
-                        77,
-                        [&](const HostName& aTo, const wire::GatewayFrame&) {
-                          home = aTo.value;
-                        },
-                        clock,
-                        7,
-                        { std::chrono::seconds{ 2 } },
-                        [] { return Duration::zero(); } };
-  aTell(desk);
+  aSetup(coordinator);
   SlotRequest request;
   request.service = "desk";
   request.instance = "i-1";
   asio::co_spawn(
     context,
-    desk.Acquire(std::make_shared<RequestContext>(context.get_executor()),
-                 request),
+    coordinator.Acquire(
+      std::make_shared<RequestContext>(context.get_executor()), request),
     [](const std::exception_ptr&, const SlotOutcome&) {});
   context.poll();
   return home;
 }
 
-// Entries come and go, and each hears of it command by command or, if it has
-// just started, with the whole state. All must ask the same home for a slot:
-// two homes would give away an upstream's slots twice.
-TEST(SlotCoordinator, CommandByCommandHasTheSameHomes)
+// Entries join and leave. Other entries learn of it from single commands or, if
+// they have just started, from a snapshot. All must find the same home entry:
+// two home entries would allocate the slots of an upstream twice.
+TEST(SlotCoordinator, CommandsAndSnapshotGiveTheSameHome)
 {
   std::vector<wire::GatewayCommand> commands(1);
   wire::UpstreamInstance* instance =
@@ -189,125 +191,126 @@
     commands.emplace_back().mutable_drop_entry()->set_address(address(number));
   }
   State state;
-  const std::string followed = HomeAsked([&](SlotCoordinator& aDesk) {
-    uint64_t index = 0;
-    aDesk.StateChanged(state);
-    for (const wire::GatewayCommand& command : commands) {
-      static_cast<void>(state.Apply(command, LogIndex{ ++index }));
-      aDesk.StateChanged(state, command);
-    }
-  });
-  const std::string whole =
-    HomeAsked([&](SlotCoordinator& aDesk) { aDesk.StateChanged(state); });
-  EXPECT_EQ(followed, whole);
-  EXPECT_TRUE(state.Entries().contains(followed)) << followed;
+  const std::string fromCommands =
+    RequestedHome([&](SlotCoordinator& aCoordinator) {
+      uint64_t index = 0;
+      aCoordinator.StateChanged(state);
+      for (const wire::GatewayCommand& command : commands) {
+        static_cast<void>(state.Apply(command, LogIndex{ ++index }));
+        aCoordinator.StateChanged(state, command);
+      }
+    });
+  const std::string fromSnapshot = RequestedHome(
+    [&](SlotCoordinator& aCoordinator) { aCoordinator.StateChanged(state); });
+  EXPECT_EQ(fromCommands, fromSnapshot);
+  EXPECT_TRUE(state.Entries().contains(fromCommands)) << fromCommands;
 }
 
-// Three hundred requests for one key arrive at an entry at once. The home of
-// its owner's slots hears of 64 at a time, which is what it can take from all
-// entries together, and all get their slots in turn.
-TEST_F(SlotCoordinatorTest, HomeHearsFewAsksAtOnce)
+// Three hundred requests for one key arrive at an entry at once. At most 64
+// slot requests are in flight to the home entry, which is what it can process
+// from all entries together, and all requests get their slots in turn.
+TEST_F(SlotCoordinatorTest, LimitsRequestsInFlightToTheHome)
 {
-  Know();
+  LoadState();
   Acquire(300);
   context.poll();
-  EXPECT_EQ(asks.size(), kMostAtOnce);
-  while (!asks.empty()) {
+  EXPECT_EQ(requests.size(), kMaxInFlight);
+  while (!requests.empty()) {
     Answer(wire::SLOT_STATE_GRANTED);
     context.poll();
-    EXPECT_LE(asks.size(), kMostAtOnce);
+    EXPECT_LE(requests.size(), kMaxInFlight);
   }
-  EXPECT_EQ(Slots(), 300U);
-  EXPECT_EQ(asked, 300U);
+  EXPECT_EQ(SlotCount(), 300U);
+  EXPECT_EQ(requestCount, 300U);
 }
 
-// The home refuses one request. The others, which it would refuse, too, have
-// their answer at once, without being asked for.
-TEST_F(SlotCoordinatorTest, RefusalIsSharedByThoseThatWait)
+// The home entry refuses the requests that it gets. The queued ones, which it
+// would refuse as well, are rejected at once and not sent.
+TEST_F(SlotCoordinatorTest, RefusalRejectsQueuedRequests)
 {
-  Know();
-  answers = wire::SLOT_STATE_REFUSED;
+  LoadState();
+  autoAnswer = wire::SLOT_STATE_REFUSED;
   Acquire(300);
   context.poll();
   EXPECT_EQ(outcomes.size(), 300U);
-  EXPECT_EQ(Slots(), 0U);
-  EXPECT_LE(asked, kMostAtOnce);
+  EXPECT_EQ(SlotCount(), 0U);
+  EXPECT_LE(requestCount, kMaxInFlight);
 }
 
-// A home was cut off before it heard that an upstream leaves, and gives a slot
-// there. The asking entry knows better: it gives the slot back, since the
-// upstream may end while the request runs.
-TEST_F(SlotCoordinatorTest, SlotAtLeavingUpstreamIsGivenBack)
+// A home entry is partitioned before it learns that an upstream is draining,
+// and grants a slot there. The requesting entry knows of the draining and
+// releases the slot, since the upstream may end while the request runs.
+TEST_F(SlotCoordinatorTest, SlotOfDrainingUpstreamIsReleased)
 {
-  Know(true);
+  LoadState(true);
   clock.Advance(std::chrono::seconds{ 2 });
-  answers = wire::SLOT_STATE_GRANTED;
+  autoAnswer = wire::SLOT_STATE_GRANTED;
   Acquire();
   context.run_for(milliseconds{ 5 });
-  ASSERT_EQ(ends.size(), 1U);
-  EXPECT_EQ(ends.front().end(),
+  ASSERT_EQ(releases.size(), 1U);
+  EXPECT_EQ(releases.front().end(),
             static_cast<uint32_t>(AttemptOutcome::Abandoned));
 }
 
-// With a drain timeout of 2 s a leaving owner of keys still gets requests for
-// 0.9 s, until its keys have another holder.
-TEST_F(SlotCoordinatorTest, LeavingOwnerIsUsedForAPartOfItsDrainTimeout)
+// With a drain timeout of 2 s, a draining owner of keys still gets requests for
+// 0.9 s, until its keys have another owner.
+TEST_F(SlotCoordinatorTest, DrainingOwnerIsUsedForPartOfTheDrainTimeout)
 {
-  Know(true);
+  LoadState(true);
   clock.Advance(milliseconds{ 600 });
-  answers = wire::SLOT_STATE_GRANTED;
+  autoAnswer = wire::SLOT_STATE_GRANTED;
   Acquire();
   context.run_for(milliseconds{ 5 });
-  EXPECT_EQ(Slots(), 1U);
-  EXPECT_TRUE(ends.empty());
+  EXPECT_EQ(SlotCount(), 1U);
+  EXPECT_TRUE(releases.empty());
 }
 
-// The home says nothing. The request goes by what this host knows itself, and
-// the next ones do not wait for the home again.
-TEST_F(SlotCoordinatorTest, SilentHomeIsLeftAlone)
+// The home entry does not answer. The request is sent uncoordinated, and the
+// next ones do not wait for the home entry again.
+TEST_F(SlotCoordinatorTest, UnresponsiveHomeIsBypassed)
 {
-  Know();
+  LoadState();
   Acquire();
   context.run();
-  EXPECT_EQ(Slots(), 1U);
-  EXPECT_EQ(asked, 1U);
+  EXPECT_EQ(SlotCount(), 1U);
+  EXPECT_EQ(requestCount, 1U);
   Acquire();
   context.restart();
   context.run();
-  EXPECT_EQ(Slots(), 2U);
-  EXPECT_EQ(asked, 1U);
+  EXPECT_EQ(SlotCount(), 2U);
+  EXPECT_EQ(requestCount, 1U);
 }
 
-// Alone, an entry takes a part of the slots only: the others that are alone, as
-// well, would overrun the upstream together.
-TEST_F(SlotCoordinatorTest, AloneTakesAPartOfTheSlots)
+// An uncoordinated entry uses only a part of an upstream's slots: with all of
+// them, several uncoordinated entries would overload the upstream together.
+TEST_F(SlotCoordinatorTest, UncoordinatedEntryUsesPartOfTheSlots)
 {
-  Know();
+  LoadState();
   Acquire();
   context.run();
   Acquire(8);
   context.restart();
   context.poll();
-  EXPECT_EQ(Slots(), 2U);
+  EXPECT_EQ(SlotCount(), 2U);
 }
 
-// The home of a busy owner says nothing to any of some tens of entries. Each
-// sends the owner one request by itself; more would be more than it has places
-// for, and those beyond never get an answer. The next caller is told at once to
-// come back.
-TEST_F(SlotCoordinatorTest, ManyEntriesLeaveABusyOwnerToItsHome)
+// The home entry of the owner of a hot key does not answer any of some tens of
+// entries. Each sends the owner one request uncoordinated. Further ones would
+// exceed the owner's queue and never get an answer, so the next request is
+// refused at once with a time to retry after.
+TEST_F(SlotCoordinatorTest, ManyEntriesDoNotBypassTheHomeOfAHotOwner)
 {
-  Know();
+  LoadState();
   for (int number = 0; number < 30; ++number) {
     wire::GatewayCommand command;
     command.mutable_put_entry()->mutable_entry()->set_address(
       "10.0.2." + std::to_string(number) + ":1");
     static_cast<void>(state.Apply(command, LogIndex{ ++index }));
-    desk.StateChanged(state, command);
+    coordinator.StateChanged(state, command);
   }
   Acquire();
   context.run();
-  EXPECT_EQ(Slots(), 1U);
+  EXPECT_EQ(SlotCount(), 1U);
   Acquire();
   context.restart();
   context.run();
@@ -318,9 +321,10 @@
   EXPECT_GT(none->retryAfter, Duration::zero());
 }
 
-// All hosts were restarted; an entry has the state and the home of an upstream
-// has none yet. The home must not say that it knows no such upstream, which
-// would end the request: it declines, and the entry goes by itself at once.
+// All hosts were restarted; an entry has the state and the home entry of an
+// upstream has none yet. The home entry must not refuse the request, which
+// would end it: it declines, and the requesting entry sends it uncoordinated at
+// once.
 TEST_F(SlotCoordinatorTest, HomeWithoutStateDeclines)
 {
   wire::SlotAsk ask;
@@ -329,32 +333,32 @@
   ask.set_ticket(9);
   ask.set_service("desk");
   ask.set_instance("i-1");
-  desk.OnSlotRequest(ask);
-  ASSERT_EQ(answered.size(), 1U);
-  EXPECT_EQ(answered.front().state(), wire::SLOT_STATE_UNKNOWN);
-  EXPECT_EQ(answered.front().ticket(), 9U);
+  coordinator.OnSlotRequest(ask);
+  ASSERT_EQ(sentAnswers.size(), 1U);
+  EXPECT_EQ(sentAnswers.front().state(), wire::SLOT_STATE_UNKNOWN);
+  EXPECT_EQ(sentAnswers.front().ticket(), 9U);
 }
 
-TEST_F(SlotCoordinatorTest, EntryGoesByItselfWhenTheHomeDeclines)
+TEST_F(SlotCoordinatorTest, DeclinedRequestIsSentUncoordinated)
 {
-  Know();
-  answers = wire::SLOT_STATE_UNKNOWN;
+  LoadState();
+  autoAnswer = wire::SLOT_STATE_UNKNOWN;
   Acquire(1);
   context.run();
-  EXPECT_EQ(Slots(), 1U);
-  EXPECT_EQ(asked, 1U);
+  EXPECT_EQ(SlotCount(), 1U);
+  EXPECT_EQ(requestCount, 1U);
 }
 
-// The home keeps in its queue as many requests as the entry may ask for at
-// once. They cost it nothing more, and must not keep others from asking that
-// are more urgent, or can still be in time.
-TEST_F(SlotCoordinatorTest, RequestsInTheHomesQueueLetOthersAsk)
+// The home entry has queued as many requests as the entry may have in flight.
+// They cost the home entry no further work and must not block requests that are
+// more urgent or can still be on time.
+TEST_F(SlotCoordinatorTest, RequestsQueuedAtTheHomeAreNotInFlight)
 {
-  Know();
-  answers = wire::SLOT_STATE_QUEUED;
-  Acquire(kMostAtOnce + 20);
+  LoadState();
+  autoAnswer = wire::SLOT_STATE_QUEUED;
+  Acquire(kMaxInFlight + 20);
   context.poll();
-  EXPECT_EQ(asked, kMostAtOnce + 20);
+  EXPECT_EQ(requestCount, kMaxInFlight + 20);
 }
 
 } // namespace
--- a/src/librattandyke/gateway/slot_request_limiter.cpp
+++ b/src/librattandyke/gateway/slot_request_limiter.cpp
@@ -8,137 +8,139 @@
 
 using std::chrono::milliseconds;
 
-/// Asks under way for one upstream, from all entries together, and from each at
-/// least: one waits in the home's queue, one is on its way. A home with a tenth
-/// of a core takes 0.5 ms for each.
-constexpr size_t kAsksAtOnce = 64;
-constexpr uint32_t kLeastAsking = 2;
-/// Asks a second for one upstream that is full, from all entries together.
-constexpr double kAsksASecond = 160;
-/// Time for which requests are refused after one refusal: an upstream of a few
-/// slots and some 100 ms a request has one free again. It doubles up to the
-/// time that an entry's part of the asks allows.
-constexpr milliseconds kFirstFull{ 20 };
-constexpr uint32_t kMostDoublings = 8;
-/// Refusals that are so old say nothing of the next one.
-constexpr milliseconds kForgottenAfter{ 1000 };
+/// Slot requests in flight for one upstream from all entries together. A home
+/// entry with a tenth of a core takes 0.5 ms for each.
+constexpr size_t kMaxInFlight = 64;
+/// One at the home entry and one on its way.
+constexpr uint32_t kMinInFlightPerEntry = 2;
+/// Slot requests per second for one full upstream from all entries together.
+constexpr double kMaxRequestsPerSecond = 160;
+/// Time for which requests are rejected after the first refusal: within it, an
+/// upstream with a few slots and some 100 ms per request frees one. It doubles
+/// with each refusal, up to this entry's share of kMaxRequestsPerSecond.
+constexpr milliseconds kFirstRejectTime{ 20 };
+constexpr uint32_t kMaxDoublings = 8;
+/// Refusals older than this do not predict the next one.
+constexpr milliseconds kIdleRetention{ 1000 };
 
 } // namespace
 
-SlotRequestLimiter::SlotRequestLimiter(size_t aEntries)
+SlotRequestLimiter::SlotRequestLimiter(size_t aEntryCount)
 {
-  SetEntries(aEntries);
+  SetEntryCount(aEntryCount);
 }
 
 void
-SlotRequestLimiter::SetEntries(size_t aEntries)
+SlotRequestLimiter::SetEntryCount(size_t aEntryCount)
 {
-  const size_t entries = std::max<size_t>(aEntries, 1);
-  mMostAsking =
-    std::max(static_cast<uint32_t>(kAsksAtOnce / entries), kLeastAsking);
-  mLongestFull = std::chrono::duration_cast<Duration>(
-    std::chrono::duration<double>(static_cast<double>(entries) / kAsksASecond));
+  const size_t entryCount = std::max<size_t>(aEntryCount, 1);
+  mMaxInFlight = std::max(static_cast<uint32_t>(kMaxInFlight / entryCount),
+                          kMinInFlightPerEntry);
+  mMaxRejectTime =
+    std::chrono::duration_cast<Duration>(std::chrono::duration<double>(
+      static_cast<double>(entryCount) / kMaxRequestsPerSecond));
 }
 
-SlotRequestLimiter::Verdict
-SlotRequestLimiter::Enter(uint64_t aTicket,
+SlotRequestLimiter::Decision
+SlotRequestLimiter::Admit(uint64_t aTicket,
                           const std::string& aInstance,
                           uint32_t aPriority,
                           Instant aNow)
 {
-  Line& line = mLines[aInstance];
-  if (aNow < line.fullUntil && aPriority >= line.fullPriority) {
-    return IsFull{ line.retryAfter };
+  Limit& limit = mLimits[aInstance];
+  if (aNow < limit.rejectUntil && aPriority >= limit.rejectedPriority) {
+    return Rejected{ limit.retryAfter };
   }
-  if (line.asking < mMostAsking) {
-    ++line.asking;
-    return MayAsk{};
+  if (limit.inFlight < mMaxInFlight) {
+    ++limit.inFlight;
+    return Admitted{};
   }
-  line.waiting.emplace(Place{ aPriority, ++mArrivals }, aTicket);
-  return MustWait{};
+  limit.waiting.emplace(QueuePosition{ aPriority, ++mArrivals }, aTicket);
+  return Queued{};
 }
 
 void
-SlotRequestLimiter::Leave(uint64_t aTicket, const std::string& aInstance)
+SlotRequestLimiter::Cancel(uint64_t aTicket, const std::string& aInstance)
 {
-  const auto found = mLines.find(aInstance);
-  if (found != mLines.end()) {
+  const auto found = mLimits.find(aInstance);
+  if (found != mLimits.end()) {
     std::erase_if(found->second.waiting, [&](const auto& aWaiting) {
       return aWaiting.second == aTicket;
     });
   }
 }
 
-std::vector<SlotRequestLimiter::Turn>
-SlotRequestLimiter::PassOn(Line& aLine) const
+std::vector<SlotRequestLimiter::QueuedDecision>
+SlotRequestLimiter::AdmitNext(Limit& aLimit) const
 {
-  aLine.asking -= aLine.asking > 0 ? 1 : 0;
-  std::vector<Turn> turns;
-  while (aLine.asking < mMostAsking && !aLine.waiting.empty()) {
-    const auto first = aLine.waiting.begin();
-    turns.push_back(Turn{ first->second, MayAsk{} });
-    aLine.waiting.erase(first);
-    ++aLine.asking;
+  aLimit.inFlight -= aLimit.inFlight > 0 ? 1 : 0;
+  std::vector<QueuedDecision> decisions;
+  while (aLimit.inFlight < mMaxInFlight && !aLimit.waiting.empty()) {
+    const auto first = aLimit.waiting.begin();
+    decisions.push_back(QueuedDecision{ first->second, Admitted{} });
+    aLimit.waiting.erase(first);
+    ++aLimit.inFlight;
   }
-  return turns;
+  return decisions;
 }
 
-/// A request in the home's queue costs the home nothing more. Were it counted
-/// as asking until it has a slot, those that wait for a late answer would keep
-/// others from asking whose answers may be in time.
-std::vector<SlotRequestLimiter::Turn>
+/// A request in the home entry's queue costs the home entry no further work. If
+/// it counted as in flight until it has a slot, requests that wait for a late
+/// answer would block requests whose answers may still be in time.
+std::vector<SlotRequestLimiter::QueuedDecision>
 SlotRequestLimiter::OnQueued(const std::string& aInstance)
 {
   return OnGranted(aInstance);
 }
 
-std::vector<SlotRequestLimiter::Turn>
+std::vector<SlotRequestLimiter::QueuedDecision>
 SlotRequestLimiter::OnGranted(const std::string& aInstance)
 {
-  Line& line = mLines[aInstance];
-  line.refusals = 0;
-  line.fullUntil = {};
-  return PassOn(line);
+  Limit& limit = mLimits[aInstance];
+  limit.refusals = 0;
+  limit.rejectUntil = {};
+  return AdmitNext(limit);
 }
 
-std::vector<SlotRequestLimiter::Turn>
+std::vector<SlotRequestLimiter::QueuedDecision>
 SlotRequestLimiter::OnRefused(const std::string& aInstance,
                               uint32_t aPriority,
                               Duration aRetryAfter,
                               Instant aNow)
 {
-  Line& line = mLines[aInstance];
-  const Duration full = std::min<Duration>(
-    kFirstFull * (1U << std::min(line.refusals, kMostDoublings)), mLongestFull);
-  ++line.refusals;
-  line.fullPriority = aPriority;
-  line.fullUntil = aNow + full;
-  line.retryAfter = aRetryAfter;
-  std::vector<Turn> turns;
-  const auto refused = line.waiting.lower_bound(Place{ aPriority, 0 });
-  for (auto at = refused; at != line.waiting.end(); ++at) {
-    turns.push_back(Turn{ at->second, IsFull{ aRetryAfter } });
+  Limit& limit = mLimits[aInstance];
+  const Duration rejectTime = std::min<Duration>(
+    kFirstRejectTime * (1U << std::min(limit.refusals, kMaxDoublings)),
+    mMaxRejectTime);
+  ++limit.refusals;
+  limit.rejectedPriority = aPriority;
+  limit.rejectUntil = aNow + rejectTime;
+  limit.retryAfter = aRetryAfter;
+  std::vector<QueuedDecision> decisions;
+  const auto refused = limit.waiting.lower_bound(QueuePosition{ aPriority, 0 });
+  for (auto at = refused; at != limit.waiting.end(); ++at) {
+    decisions.push_back(QueuedDecision{ at->second, Rejected{ aRetryAfter } });
   }
-  line.waiting.erase(refused, line.waiting.end());
-  for (const Turn& turn : PassOn(line)) {
-    turns.push_back(turn);
+  limit.waiting.erase(refused, limit.waiting.end());
+  for (const QueuedDecision& queued : AdmitNext(limit)) {
+    decisions.push_back(queued);
   }
-  return turns;
+  return decisions;
 }
 
-std::vector<SlotRequestLimiter::Turn>
-SlotRequestLimiter::OnGivenUp(const std::string& aInstance)
+std::vector<SlotRequestLimiter::QueuedDecision>
+SlotRequestLimiter::OnUnanswered(const std::string& aInstance)
 {
-  return PassOn(mLines[aInstance]);
+  return AdmitNext(mLimits[aInstance]);
 }
 
 void
-SlotRequestLimiter::Sweep(Instant aNow)
+SlotRequestLimiter::RemoveIdle(Instant aNow)
 {
-  std::erase_if(mLines, [&](const auto& aItem) {
-    const Line& line = aItem.second;
-    return line.asking == 0 && line.waiting.empty() &&
-           aNow - line.fullUntil >= kForgottenAfter;
+  std::erase_if(mLimits, [&](const auto& aItem) {
+    const Limit& limit = aItem.second;
+    return limit.inFlight == 0 && limit.waiting.empty() &&
+           aNow - limit.rejectUntil >= kIdleRetention;
   });
 }
 
--- a/src/librattandyke/gateway/slot_request_limiter.h
+++ b/src/librattandyke/gateway/slot_request_limiter.h
@@ -1,4 +1,4 @@
-/// How many asks for one upstream's slots an entry host has under way.
+/// Limits the slot requests that an entry host sends for one upstream.
 #pragma once
 
 #include <cstdint>
@@ -11,103 +11,110 @@
 
 namespace rattandyke::gateway {
 
-/// Safeguard: when many requests are for one upstream, all entries together
-/// would send its home an ask for each. The home, busy with these, seems
-/// silent, every entry then goes by what it knows itself, and the upstream gets
-/// hundreds of requests at once and resets them. So an entry has few asks under
-/// way for one upstream; other requests wait here, and after a refusal are
-/// refused here, too, for a time that doubles while refusals go on. It bounds
-/// what a home hears of one upstream to some tens of asks at once and some
-/// hundreds a second, whatever the requests and the number of entries. Does no
-/// I/O. Not thread-safe.
+/// Limits the slot requests that an entry host has in flight to the home entry
+/// of each upstream. Further requests queue here. After a refusal by the home
+/// entry, requests are rejected here for a time that doubles with each further
+/// refusal.
+///
+/// Without the limit, a burst of requests for one upstream makes all entries
+/// together send its home entry a slot request for each. The home entry is then
+/// too busy to answer in time, every entry sends to the upstream uncoordinated,
+/// and the upstream gets hundreds of requests at once and resets connections.
+/// With it, a home entry receives some tens of slot requests for one upstream
+/// at once and some hundreds per second, independent of the number of requests
+/// and entries. Does no I/O. Not thread-safe.
 class SlotRequestLimiter
 {
 public:
-  /// The request asks now; one of the On... calls must tell how that ends.
-  struct MayAsk
+  /// The slot request may be sent now. One of the On... calls must follow with
+  /// its result.
+  struct Admitted
   {};
-  /// It is told when its turn comes.
-  struct MustWait
+  /// The slot request waits; a later QueuedDecision admits or rejects it.
+  struct Queued
   {};
-  /// The home has just refused others like it.
-  struct IsFull
+  /// The home entry has just refused requests of this priority.
+  struct Rejected
   {
     Duration retryAfter{};
   };
 
-  using Verdict = std::variant<MayAsk, MustWait, IsFull>;
+  using Decision = std::variant<Admitted, Queued, Rejected>;
 
-  /// What a request that waits is told.
-  struct Turn
+  /// The decision on a queued slot request.
+  struct QueuedDecision
   {
     uint64_t ticket = 0;
-    Verdict verdict;
+    Decision decision;
   };
 
-  /// @param aEntries entry hosts that may ask the same homes, this one
-  /// included.
-  explicit SlotRequestLimiter(size_t aEntries = 1);
+  /// @param aEntryCount number of entry hosts that may send slot requests to
+  /// the same home entries, this one included.
+  explicit SlotRequestLimiter(size_t aEntryCount = 1);
 
-  void SetEntries(size_t aEntries);
+  void SetEntryCount(size_t aEntryCount);
 
-  /// A request wants a slot of an upstream.
-  /// @param aPriority 0 goes first.
-  Verdict Enter(uint64_t aTicket,
-                const std::string& aInstance,
-                uint32_t aPriority,
-                Instant aNow);
+  /// Decides whether a slot request for an upstream may be sent.
+  /// @param aPriority 0 is the most urgent.
+  Decision Admit(uint64_t aTicket,
+                 const std::string& aInstance,
+                 uint32_t aPriority,
+                 Instant aNow);
 
-  /// A request that waits goes.
-  void Leave(uint64_t aTicket, const std::string& aInstance);
+  /// Removes a queued slot request.
+  void Cancel(uint64_t aTicket, const std::string& aInstance);
 
-  /// The home keeps the request in its queue: it asks no more, and one of the
-  /// other calls need not follow.
-  std::vector<Turn> OnQueued(const std::string& aInstance);
+  /// The home entry has queued an admitted request. Ends its time in flight; no
+  /// other On... call must follow for it.
+  /// @return decisions on queued requests, as for the other On... calls.
+  std::vector<QueuedDecision> OnQueued(const std::string& aInstance);
 
-  /// The home gave a slot.
-  std::vector<Turn> OnGranted(const std::string& aInstance);
+  /// The home entry has granted a slot.
+  std::vector<QueuedDecision> OnGranted(const std::string& aInstance);
 
-  /// The home has no slot for a request of this priority.
-  /// @param aRetryAfter when it may have one.
-  std::vector<Turn> OnRefused(const std::string& aInstance,
-                              uint32_t aPriority,
-                              Duration aRetryAfter,
-                              Instant aNow);
+  /// The home entry has no slot for a request of this priority.
+  /// @param aRetryAfter time after which it expects to have one.
+  std::vector<QueuedDecision> OnRefused(const std::string& aInstance,
+                                        uint32_t aPriority,
+                                        Duration aRetryAfter,
+                                        Instant aNow);
 
-  /// The ask ended without an answer.
-  std::vector<Turn> OnGivenUp(const std::string& aInstance);
+  /// An admitted request ended without an answer of the home entry.
+  std::vector<QueuedDecision> OnUnanswered(const std::string& aInstance);
 
-  /// Forgets upstreams for which nobody has asked for a while. Call it from
-  /// time to time.
-  void Sweep(Instant aNow);
+  /// Removes the limits of upstreams without recent slot requests. Must be
+  /// called from time to time.
+  void RemoveIdle(Instant aNow);
 
-  /// Upstreams about which something is remembered.
-  size_t Size() const { return mLines.size(); }
+  /// @return the number of upstreams that have a limit.
+  size_t Size() const { return mLimits.size(); }
 
 private:
-  /// By priority, then in the order of arrival.
-  using Place = std::pair<uint32_t, uint64_t>;
+  /// Priority, then order of arrival.
+  using QueuePosition = std::pair<uint32_t, uint64_t>;
 
-  struct Line
+  /// The slot requests for one upstream.
+  struct Limit
   {
-    uint32_t asking = 0;
-    std::map<Place, uint64_t> waiting;
-    /// Refusals since the last slot.
+    uint32_t inFlight = 0;
+    std::map<QueuePosition, uint64_t> waiting;
+    /// Refusals since the last granted slot.
     uint32_t refusals = 0;
-    /// Requests of this priority, and less urgent ones, are refused until then.
-    uint32_t fullPriority = 0;
-    Instant fullUntil{};
-    /// What the home said then. It is told on as it is: while refusals go on
-    /// the queue stays as long, and a caller that comes back sooner has used
-    /// its second try in vain.
+    /// Requests of this priority and less urgent ones are rejected until
+    /// rejectUntil.
+    uint32_t rejectedPriority = 0;
+    Instant rejectUntil{};
+    /// The home entry's value in its last refusal, passed on unchanged: while
+    /// refusals continue, the home's queue does not get shorter, and a caller
+    /// that retries earlier has spent its second attempt without effect.
     Duration retryAfter{};
   };
 
-  std::vector<Turn> PassOn(Line& aLine) const;
+  std::vector<QueuedDecision> AdmitNext(Limit& aLimit) const;
 
-  uint32_t mMostAsking = 0;
-  Duration mLongestFull{};
-  std::map<std::string, Line> mLines;
+  uint32_t mMaxInFlight = 0;
+  Duration mMaxRejectTime{};
+  std::map<std::string, Limit> mLimits;
   uint64_t mArrivals = 0;
 };
 
