--- a/src/librattandyke/gateway/slot_coordinator.cpp
+++ b/src/librattandyke/gateway/slot_coordinator.cpp
@@ -180,8 +180,8 @@
   if (left <= Duration::zero()) {
     co_return;
   }
-  aPending->context->Wake().expires_after(left);
-  co_await aPending->context->Wake().async_wait(kAwait);
+  aPending->context->WakeTimer().expires_after(left);
+  co_await aPending->context->WakeTimer().async_wait(kAwait);
 }
 
 /// Waits for the first reply of the home entry.
@@ -191,7 +191,7 @@
 {
   const auto hasReply = [&] {
     return aPending->outcome || aPending->queued || aPending->declined ||
-           aPending->context->IsOver();
+           aPending->context->IsCancelled();
   };
   while (!hasReply() && mClock.Now() < aUntil) {
     co_await WaitUntil(aPending, aUntil);
@@ -241,7 +241,8 @@
     mUnresponsiveUntil[aHome] = mClock.Now() + Duration(kDeclinedBackoff);
     co_return;
   }
-  if (!aPending->outcome && !aPending->queued && !aPending->context->IsOver()) {
+  if (!aPending->outcome && !aPending->queued &&
+      !aPending->context->IsCancelled()) {
     mUnresponsiveUntil[aHome] = mClock.Now() + Duration(kUnresponsiveBackoff);
     log::Line(log::Part::Entry, log::Severity::Info)
       << "home entry of slots " << aHome
@@ -252,7 +253,7 @@
   // The home entry ends the wait, at the latest when no answer can arrive
   // before the deadline.
   const Instant end = sentAt + aRequest.maxHold;
-  while (!aPending->outcome && !aPending->context->IsOver() &&
+  while (!aPending->outcome && !aPending->context->IsCancelled() &&
          mClock.Now() < end) {
     co_await WaitUntil(aPending, end);
   }
@@ -268,7 +269,7 @@
   SlotRequestLimiter::Decision decision =
     mLimiter.Admit(ticket, aRequest.instance, aRequest.priority, enteredAt);
   if (std::holds_alternative<SlotRequestLimiter::Queued>(decision)) {
-    while (!aPending->decision && !aPending->context->IsOver() &&
+    while (!aPending->decision && !aPending->context->IsCancelled() &&
            mClock.Now() < end) {
       co_await WaitUntil(aPending, end);
     }
@@ -299,7 +300,7 @@
     co_return;
   }
   // The home entry may have become unresponsive during the wait.
-  if (!aPending->context->IsOver() && !IsUnresponsive(aHome)) {
+  if (!aPending->context->IsCancelled() && !IsUnresponsive(aHome)) {
     const Duration left = std::max(end - mClock.Now(), Duration::zero());
     aRequest.timeToObjective -=
       std::min(aRequest.maxWait - left, aRequest.timeToObjective);
@@ -336,7 +337,7 @@
     const auto found = mPending.find(decision.ticket);
     if (found != mPending.end()) {
       found->second->decision = decision.decision;
-      found->second->context->Wake().cancel();
+      found->second->context->WakeTimer().cancel();
     }
   }
 }
@@ -347,7 +348,7 @@
 {
   const Instant end = mClock.Now() + aRequest.maxHold;
   Deliver(mBroker.Acquire(aRequest, mClock.Now()));
-  while (!aPending->outcome && !aPending->context->IsOver() &&
+  while (!aPending->outcome && !aPending->context->IsCancelled() &&
          mClock.Now() < end) {
     co_await WaitUntil(aPending, end);
   }
@@ -380,7 +381,7 @@
     aRequest.excluded.insert(slot->instance);
     outcome.reset();
   }
-  if (!outcome && !aContext->IsOver()) {
+  if (!outcome && !aContext->IsCancelled()) {
     aRequest.uncoordinated = !home.empty() && home != mSelf;
     if (aRequest.uncoordinated && !aRequest.mayBypassHome) {
       co_return SlotUnavailable{ UpstreamSet::UnavailableReason::Full,
@@ -553,7 +554,7 @@
              !pending.instance.empty()) {
     ApplyDecisions(mLimiter.OnQueued(pending.instance));
   }
-  pending.context->Wake().cancel();
+  pending.context->WakeTimer().cancel();
 }
 
 void
@@ -562,7 +563,7 @@
   const auto found = mPending.find(aTicket);
   if (found != mPending.end()) {
     found->second->declined = true;
-    found->second->context->Wake().cancel();
+    found->second->context->WakeTimer().cancel();
   }
 }
 
