--- a/src/librattandyke/gateway/request_handler.cpp
+++ b/src/librattandyke/gateway/request_handler.cpp
@@ -4,7 +4,7 @@
 #include <charconv>
 #include <cstdio>
 
-#include "gateway/load_map.h"
+#include "gateway/key_load_map.h"
 #include "gateway/retry_share.h"
 #include "http/headers.h"
 #include "http/signal.h"
@@ -108,23 +108,24 @@
   return {};
 }
 
-TryEnd
+AttemptOutcome
 EndOf(const AttemptResult& aResult, bool aAbandoned)
 {
   if (aAbandoned) {
-    return TryEnd::Abandoned;
+    return AttemptOutcome::Abandoned;
   }
   switch (aResult.kind) {
     case AttemptResult::Kind::Response:
-      return TryEnd::Answered;
+      return AttemptOutcome::Answered;
     case AttemptResult::Kind::NotExecuted:
-      return TryEnd::Refused;
+      return AttemptOutcome::Refused;
     case AttemptResult::Kind::NotSent:
-      return TryEnd::Unreachable;
+      return AttemptOutcome::Unreachable;
     case AttemptResult::Kind::OutcomeUnknown:
-      return aResult.cancelled ? TryEnd::Silent : TryEnd::Broken;
+      return aResult.cancelled ? AttemptOutcome::TimedOut
+                               : AttemptOutcome::Broken;
   }
-  return TryEnd::Abandoned;
+  return AttemptOutcome::Abandoned;
 }
 
 } // namespace
@@ -132,7 +133,7 @@
 RequestHandler::RequestHandler(asio::any_io_executor aExecutor,
                                Options aOptions,
                                const FeedClient& aFeed,
-                               SlotDesk& aSlots,
+                               SlotCoordinator& aSlots,
                                const Dialect& aDialect,
                                const Clock& aClock)
   : mExecutor(aExecutor)
@@ -152,7 +153,7 @@
 void
 RequestHandler::StateChanged(const wire::GatewayCommand* aCommand)
 {
-  const ItemTable& items = mFeed.Known().Items();
+  const ItemTable& items = mFeed.CurrentState().Items();
   if (aCommand == nullptr) {
     mRoutes.Update(items);
   } else if (aCommand->has_change_items()) {
@@ -190,7 +191,7 @@
     }
   }
   mKeyRequests.clear();
-  for (const auto& [instance, seconds] : mSlots.TakeNewTimes()) {
+  for (const auto& [instance, seconds] : mSlots.TakeChangedResponseSeconds()) {
     wire::InstanceTime* time = report.add_times();
     time->set_instance(instance);
     time->set_seconds(seconds);
@@ -201,7 +202,7 @@
 void
 RequestHandler::Sweep()
 {
-  const State& state = mFeed.Known();
+  const State& state = mFeed.CurrentState();
   mUpstreamClient.Pool().Sweep(mClock.Now(), [&](const std::string& aInstance) {
     return state.FindInstance(aInstance) != nullptr;
   });
@@ -210,7 +211,7 @@
 bool
 RequestHandler::OwnsKeys(const std::string& aService) const
 {
-  const auto& services = mFeed.Known().Items().Services();
+  const auto& services = mFeed.CurrentState().Items().Services();
   const auto found = services.find(aService);
   return found != services.end() && found->second.owns_keys();
 }
@@ -221,7 +222,7 @@
   auto& budget = mRetryBudgets[aService];
   const entry::RetryBudget::Settings share =
     RetryShareOf({ mOptions.retryRatio, mOptions.retrySlack },
-                 mFeed.Known().Entries().size());
+                 mFeed.CurrentState().Entries().size());
   if (!budget) {
     budget = std::make_unique<entry::RetryBudget>(share);
   }
@@ -255,7 +256,7 @@
 CallerLimits
 RequestHandler::Limits() const
 {
-  const wire::LimitsItem& limits = mFeed.Known().Items().Limits();
+  const wire::LimitsItem& limits = mFeed.CurrentState().Items().Limits();
   const auto orElse = [](auto aValue, auto aDefault) {
     return aValue == 0 ? aDefault : aValue;
   };
@@ -275,8 +276,8 @@
 void
 RequestHandler::CountClosedConnection(std::string_view aReason)
 {
-  mMetrics.Count("connections_ended",
-                 "reason=\"" + std::string(aReason) + "\"");
+  mMetrics.Increment("connections_ended",
+                     "reason=\"" + std::string(aReason) + "\"");
 }
 
 asio::awaitable<CallerResponse>
@@ -293,8 +294,8 @@
   } else {
     RecordSent(bytes);
   }
-  mMetrics.Count("requests",
-                 "status=\"" + std::to_string(response.status) + "\"");
+  mMetrics.Increment("requests",
+                     "status=\"" + std::to_string(response.status) + "\"");
   mMetrics.Observe("request", mClock.Now() - arrived);
   co_return response;
 }
@@ -302,15 +303,15 @@
 std::string
 RequestHandler::MetricsPage()
 {
-  const State& state = mFeed.Known();
+  const State& state = mFeed.CurrentState();
   mMetrics.Set("state_index", static_cast<double>(state.Applied().value));
   mMetrics.Set("state_age_seconds",
-               std::chrono::duration<double>(mFeed.Age()).count());
+               std::chrono::duration<double>(mFeed.StateAge()).count());
   mMetrics.Set("entries", static_cast<double>(state.Entries().size()));
   mMetrics.Set("upstreams", static_cast<double>(state.Instances().size()));
   mMetrics.Set("upstream_connects",
                static_cast<double>(mUpstreamClient.ConnectionsOpened()));
-  return mMetrics.Page();
+  return mMetrics.PrometheusText();
 }
 
 asio::awaitable<CallerResponse>
@@ -343,8 +344,8 @@
   progress.route = mRoutes.Find(host, path);
   if (!progress.route) {
     LogLine(id) << "no route host=" << host << " path=" << path
-                << " index=" << mFeed.Known().Applied().value
-                << " age_ms=" << Ms(mFeed.Age());
+                << " index=" << mFeed.CurrentState().Applied().value
+                << " age_ms=" << Ms(mFeed.StateAge());
     co_return MakeResponse(kNotFound, id, "no route matches");
   }
   progress.context = std::move(aContext);
@@ -367,7 +368,7 @@
 bool
 RequestHandler::HasState() const
 {
-  return mFeed.HasState() && !mFeed.Known().Items().IsEmpty();
+  return mFeed.HasState() && !mFeed.CurrentState().Items().IsEmpty();
 }
 
 asio::awaitable<void>
@@ -400,7 +401,7 @@
   for (;;) {
     const Instant now = mClock.Now();
     std::string owner = mSlots.Broker().Upstreams().OwnerOf(
-      mFeed.Known(), aProgress.service, *aProgress.key, now);
+      mFeed.CurrentState(), aProgress.service, *aProgress.key, now);
     // Without an upstream that could take the key there is nothing to wait for.
     const bool vain = !mSlots.Broker().Upstreams().CanServe(aProgress.service);
     if (!owner.empty() || vain || now >= giveUp ||
@@ -414,9 +415,9 @@
 Instant
 RequestHandler::WaitDeadline(const RequestProgress& aProgress) const
 {
-  const auto patience = std::chrono::duration_cast<Duration>(
+  const auto maxWait = std::chrono::duration_cast<Duration>(
     aProgress.route->objective * kMaxWaitShare);
-  return std::min(aProgress.arrived + patience,
+  return std::min(aProgress.arrived + maxWait,
                   aProgress.deadline - Duration(kMinAttemptTime));
 }
 
@@ -428,9 +429,10 @@
   if (aProgress.owner.empty() || mClock.Now() >= WaitDeadline(aProgress)) {
     return false;
   }
-  return mSlots.Broker().Upstreams().OwnerOf(
-           mFeed.Known(), aProgress.service, *aProgress.key, mClock.Now()) !=
-         aProgress.owner;
+  return mSlots.Broker().Upstreams().OwnerOf(mFeed.CurrentState(),
+                                             aProgress.service,
+                                             *aProgress.key,
+                                             mClock.Now()) != aProgress.owner;
 }
 
 asio::awaitable<SlotOutcome>
@@ -442,8 +444,8 @@
     request.instance = co_await AwaitOwner(aProgress);
     aProgress.owner = request.instance;
     if (request.instance.empty()) {
-      co_return NoSlot{ UpstreamSet::Hindrance::NoOwner,
-                        Duration(kRetryAfterNoOwner) };
+      co_return SlotUnavailable{ UpstreamSet::UnavailableReason::NoOwner,
+                                 Duration(kRetryAfterNoOwner) };
     }
   } else {
     request.excluded = aProgress.attempted;
@@ -451,11 +453,11 @@
   const Instant now = mClock.Now();
   mMetrics.Observe("owner_wait", now - aProgress.arrived);
   request.priority = aProgress.route->priority;
-  request.patience = std::max(WaitDeadline(aProgress) - now, Duration::zero());
-  request.aim = std::max<Duration>(aProgress.arrived +
-                                     Duration(aProgress.route->objective) - now,
-                                   milliseconds{ 1 });
-  request.held = std::max(aProgress.deadline - now, Duration::zero());
+  request.maxWait = std::max(WaitDeadline(aProgress) - now, Duration::zero());
+  request.timeToObjective = std::max<Duration>(
+    aProgress.arrived + Duration(aProgress.route->objective) - now,
+    milliseconds{ 1 });
+  request.maxHold = std::max(aProgress.deadline - now, Duration::zero());
   request.dataCentre = mOptions.dataCentre;
   co_return co_await mSlots.Acquire(aProgress.context, std::move(request));
 }
@@ -471,7 +473,7 @@
   // Named: a braced temporary in an awaited call is destroyed twice by the
   // compiler that Debian 12 has.
   RecordSent(ApproximateBytes(*aProgress.request));
-  const UpstreamProcess peer{ slot.instance, slot.address, slot.life };
+  const UpstreamProcess peer{ slot.instance, slot.address, slot.incarnation };
   AttemptResult result =
     co_await mUpstreamClient.RoundTrip(peer, aProgress.request, left, handle);
   aProgress.context->DetachAttempt();
@@ -479,7 +481,7 @@
   mSlots.Release(slot,
                  EndOf(result, aProgress.context->IsCancelledByCallerOrHost()),
                  result.elapsed);
-  mMetrics.Count("tries", AttemptLabel(result.kind));
+  mMetrics.Increment("tries", AttemptLabel(result.kind));
   mMetrics.Observe("try", result.elapsed);
   aProgress.lastUpstream = slot.instance;
   aProgress.lastFailure = result.reason;
@@ -496,9 +498,9 @@
     return;
   }
   if (const auto load = mDialect.DecodeLoad(text)) {
-    mSlots.NoteTold(aInstance, *load);
+    mSlots.RecordLoadReport(aInstance, *load);
   } else {
-    mMetrics.Count("loads_not_read", "");
+    mMetrics.Increment("loads_not_read", "");
   }
 }
 
@@ -535,8 +537,8 @@
         ++unsent;
         continue;
       }
-      const NoSlot& none = std::get<NoSlot>(outcome);
-      const bool full = none.hindrance == UpstreamSet::Hindrance::Full;
+      const SlotUnavailable& none = std::get<SlotUnavailable>(outcome);
+      const bool full = none.reason == UpstreamSet::UnavailableReason::Full;
       co_return NotExecutedResponse(aProgress,
                                     none.retryAfter,
                                     full ? "all upstreams are full"
@@ -545,7 +547,7 @@
     const bool late =
       mClock.Now() + Duration(kReturnMargin) >= aProgress.deadline;
     if (late || aProgress.context->IsCancelled()) {
-      mSlots.Release(*slot, TryEnd::Abandoned, {});
+      mSlots.Release(*slot, AttemptOutcome::Abandoned, {});
       break;
     }
     if (aProgress.sentAttempts == 0) {
@@ -630,8 +632,8 @@
               << " reason=" << aReason << " last=" << aProgress.lastFailure
               << " owner=" << (aProgress.owner.empty() ? "-" : aProgress.owner)
               << " upstream=" << aProgress.lastUpstream
-              << " index=" << mFeed.Known().Applied().value
-              << " age_ms=" << Ms(mFeed.Age())
+              << " index=" << mFeed.CurrentState().Applied().value
+              << " age_ms=" << Ms(mFeed.StateAge())
               << " after_ms=" << Ms(mClock.Now() - aProgress.arrived);
   return MakeResponse(kUnavailable, id, aReason, aRetryAfter);
 }
--- a/src/librattandyke/gateway/request_handler.h
+++ b/src/librattandyke/gateway/request_handler.h
@@ -22,7 +22,7 @@
 #include "gateway/metrics.h"
 #include "gateway/request_context.h"
 #include "gateway/route_table.h"
-#include "gateway/slot_desk.h"
+#include "gateway/slot_coordinator.h"
 #include "gateway/upstream_client.h"
 
 namespace rattandyke::gateway {
@@ -47,7 +47,7 @@
   RequestHandler(boost::asio::any_io_executor aExecutor,
                  Options aOptions,
                  const FeedClient& aFeed,
-                 SlotDesk& aSlots,
+                 SlotCoordinator& aSlots,
                  const Dialect& aDialect,
                  const Clock& aClock);
 
@@ -168,7 +168,7 @@
   const HeaderNames& mHeaders;
   const Clock& mClock;
   RouteTable mRoutes;
-  SlotDesk& mSlots;
+  SlotCoordinator& mSlots;
   UpstreamClient mUpstreamClient;
   std::map<std::string, std::unique_ptr<entry::RetryBudget>> mRetryBudgets;
   Waiters mWaiters;
--- a/src/librattandyke/gateway/request_handler_link.cpp
+++ b/src/librattandyke/gateway/request_handler_link.cpp
@@ -80,7 +80,7 @@
                                       Duration(aProgress.route->timeout),
                                       mClock.Now());
   if (wait) {
-    mMetrics.Count("link_refusals", "");
+    mMetrics.Increment("link_refusals", "");
     co_return NotExecutedResponse(aProgress, *wait, "the link is full");
   }
   CallerResponse response = co_await RunAttempts(aProgress);
