--- a/src/librattandyke/gateway/request_handler.cpp
+++ b/src/librattandyke/gateway/request_handler.cpp
@@ -152,7 +152,7 @@
 void
 RequestHandler::StateChanged(const wire::GatewayCommand* aCommand)
 {
-  const ItemTable& items = mFeed.Known().Items();
+  const ItemTable& items = mFeed.CurrentState().Items();
   if (aCommand == nullptr) {
     mRoutes.Update(items);
   } else if (aCommand->has_change_items()) {
@@ -201,7 +201,7 @@
 void
 RequestHandler::Sweep()
 {
-  const State& state = mFeed.Known();
+  const State& state = mFeed.CurrentState();
   mExchanger.Pool().Sweep(mClock.Now(), [&](const std::string& aInstance) {
     return state.FindInstance(aInstance) != nullptr;
   });
@@ -210,7 +210,7 @@
 bool
 RequestHandler::OwnsKeys(const std::string& aService) const
 {
-  const auto& services = mFeed.Known().Items().Services();
+  const auto& services = mFeed.CurrentState().Items().Services();
   const auto found = services.find(aService);
   return found != services.end() && found->second.owns_keys();
 }
@@ -221,7 +221,7 @@
   auto& budget = mBudgets[aService];
   const entry::RetryBudget::Settings share =
     ShareOf({ mOptions.retryRatio, mOptions.retrySlack },
-            mFeed.Known().Entries().size());
+            mFeed.CurrentState().Entries().size());
   if (!budget) {
     budget = std::make_unique<entry::RetryBudget>(share);
   }
@@ -255,7 +255,7 @@
 CallerLimits
 RequestHandler::Limits() const
 {
-  const wire::LimitsItem& limits = mFeed.Known().Items().Limits();
+  const wire::LimitsItem& limits = mFeed.CurrentState().Items().Limits();
   const auto orElse = [](auto aValue, auto aDefault) {
     return aValue == 0 ? aDefault : aValue;
   };
@@ -275,8 +275,8 @@
 void
 RequestHandler::CountEnd(std::string_view aReason)
 {
-  mMetrics.Count("connections_ended",
-                 "reason=\"" + std::string(aReason) + "\"");
+  mMetrics.Increment("connections_ended",
+                     "reason=\"" + std::string(aReason) + "\"");
 }
 
 asio::awaitable<CallerAnswer>
@@ -292,8 +292,8 @@
   } else {
     NoteSent(bytes);
   }
-  mMetrics.Count("requests",
-                 "status=\"" + std::to_string(answer.status) + "\"");
+  mMetrics.Increment("requests",
+                     "status=\"" + std::to_string(answer.status) + "\"");
   mMetrics.Observe("request", mClock.Now() - arrived);
   co_return answer;
 }
@@ -301,14 +301,14 @@
 std::string
 RequestHandler::MetricsPage()
 {
-  const State& state = mFeed.Known();
+  const State& state = mFeed.CurrentState();
   mMetrics.Set("state_index", static_cast<double>(state.Applied().value));
   mMetrics.Set("state_age_seconds",
-               std::chrono::duration<double>(mFeed.Age()).count());
+               std::chrono::duration<double>(mFeed.StateAge()).count());
   mMetrics.Set("entries", static_cast<double>(state.Entries().size()));
   mMetrics.Set("upstreams", static_cast<double>(state.Instances().size()));
   mMetrics.Set("upstream_connects", static_cast<double>(mExchanger.Connects()));
-  return mMetrics.Page();
+  return mMetrics.PrometheusText();
 }
 
 asio::awaitable<CallerAnswer>
@@ -341,8 +341,8 @@
   flow.route = mRoutes.Find(host, path);
   if (!flow.route) {
     Line(id) << "no route host=" << host << " path=" << path
-             << " index=" << mFeed.Known().Applied().value
-             << " age_ms=" << Ms(mFeed.Age());
+             << " index=" << mFeed.CurrentState().Applied().value
+             << " age_ms=" << Ms(mFeed.StateAge());
     co_return Own(kNotFound, id, "no route matches");
   }
   flow.context = std::move(aContext);
@@ -364,7 +364,7 @@
 bool
 RequestHandler::HasState() const
 {
-  return mFeed.HasState() && !mFeed.Known().Items().IsEmpty();
+  return mFeed.HasState() && !mFeed.CurrentState().Items().IsEmpty();
 }
 
 asio::awaitable<void>
@@ -397,7 +397,7 @@
   for (;;) {
     const Instant now = mClock.Now();
     std::string owner = mDesk.Broker().Upstreams().OwnerOf(
-      mFeed.Known(), aFlow.service, *aFlow.key, now);
+      mFeed.CurrentState(), aFlow.service, *aFlow.key, now);
     // Without an upstream that could take the key there is nothing to wait for.
     const bool vain = !mDesk.Broker().Upstreams().CanServe(aFlow.service);
     if (!owner.empty() || vain || now >= giveUp || aFlow.context->IsOver()) {
@@ -425,7 +425,7 @@
     return false;
   }
   return mDesk.Broker().Upstreams().OwnerOf(
-           mFeed.Known(), aFlow.service, *aFlow.key, mClock.Now()) !=
+           mFeed.CurrentState(), aFlow.service, *aFlow.key, mClock.Now()) !=
          aFlow.owner;
 }
 
@@ -471,7 +471,7 @@
   aFlow.context->Detach();
   NoteTold(slot.instance, result.answer);
   mDesk.Release(slot, EndOf(result, aFlow.context->IsAbandoned()), result.took);
-  mMetrics.Count("tries", TryLabel(result.kind));
+  mMetrics.Increment("tries", TryLabel(result.kind));
   mMetrics.Observe("try", result.took);
   aFlow.lastUpstream = slot.instance;
   aFlow.lastReason = result.reason;
@@ -490,7 +490,7 @@
   if (const auto load = mDialect.DecodeLoad(text)) {
     mDesk.NoteTold(aInstance, *load);
   } else {
-    mMetrics.Count("loads_not_read", "");
+    mMetrics.Increment("loads_not_read", "");
   }
 }
 
@@ -612,8 +612,8 @@
            << " reason=" << aReason << " last=" << aFlow.lastReason
            << " owner=" << (aFlow.owner.empty() ? "-" : aFlow.owner)
            << " upstream=" << aFlow.lastUpstream
-           << " index=" << mFeed.Known().Applied().value
-           << " age_ms=" << Ms(mFeed.Age())
+           << " index=" << mFeed.CurrentState().Applied().value
+           << " age_ms=" << Ms(mFeed.StateAge())
            << " after_ms=" << Ms(mClock.Now() - aFlow.arrived);
   return Own(kUnavailable, id, aReason, aRetryAfter);
 }
--- a/src/librattandyke/gateway/request_handler_link.cpp
+++ b/src/librattandyke/gateway/request_handler_link.cpp
@@ -79,7 +79,7 @@
                                 Duration(aFlow.route->timeout),
                                 mClock.Now());
   if (wait) {
-    mMetrics.Count("link_refusals", "");
+    mMetrics.Increment("link_refusals", "");
     co_return NotRun(aFlow, *wait, "the link is full");
   }
   CallerAnswer answer = co_await Run(aFlow);
