--- a/src/librattandyke/gateway/dialect.h
+++ b/src/librattandyke/gateway/dialect.h
@@ -10,7 +10,7 @@
 #include <rattandyke/result.h>
 
 #include "gateway/heartbeat.h"
-#include "gateway/told_load.h"
+#include "gateway/load_report.h"
 #include "wire/gateway.pb.h"
 
 namespace rattandyke::gateway {
@@ -76,7 +76,8 @@
 
   /// @return what an upstream tells with HeaderNames::load, or nothing if it
   /// can't be read.
-  virtual std::optional<ToldLoad> DecodeLoad(std::string_view aText) const = 0;
+  virtual std::optional<LoadReport> DecodeLoad(
+    std::string_view aText) const = 0;
 
   /// @return whether a call is a heartbeat, by its method and path alone.
   virtual bool IsHeartbeat(std::string_view aMethod,
--- a/src/librattandyke/gateway/entry_host.cpp
+++ b/src/librattandyke/gateway/entry_host.cpp
@@ -65,7 +65,7 @@
     , relay(feed.CurrentState(), FeedServer::WhileAlone::Forget)
     , desk(
         executor,
-        ToString(aSettings.Self()),
+        ToString(aSettings.AdvertisedAddress()),
         aSeed,
         [this](const HostName& aTo, const wire::GatewayFrame& aFrame) {
           const std::string bytes = aFrame.SerializeAsString();
@@ -78,7 +78,7 @@
                               aSettings.evacuationTimeout,
                               aSettings.coldFactor,
                               aSettings.coldSlack,
-                              ToString(aSettings.Self()),
+                              ToString(aSettings.AdvertisedAddress()),
                               aSettings.dataCentre },
         [this] { return feed.StateAge(); })
     , handler(executor,
@@ -98,7 +98,7 @@
   static wire::EntryMember SelfOf(const Settings& aSettings)
   {
     wire::EntryMember self;
-    self.set_address(ToString(aSettings.Self()));
+    self.set_address(ToString(aSettings.AdvertisedAddress()));
     self.set_data_centre(aSettings.dataCentre.value);
     return self;
   }
@@ -129,11 +129,11 @@
         << "a message between hosts can't be read; the connection ends";
       aConnection->Close();
     } else if (frame.has_slot_ask()) {
-      desk.OnAsk(frame.slot_ask());
+      desk.OnSlotRequest(frame.slot_ask());
     } else if (frame.has_slot_answer()) {
-      desk.OnAnswer(frame.slot_answer());
+      desk.OnSlotAnswer(frame.slot_answer());
     } else if (frame.has_slot_done()) {
-      desk.OnDone(frame.slot_done());
+      desk.OnSlotRelease(frame.slot_done());
     } else if (frame.has_feed_open()) {
       OnRelayOpen(aConnection, frame.feed_open());
     } else if (frame.has_feed_report()) {
@@ -196,7 +196,7 @@
       readiness = std::make_unique<HttpServer>(
         executor,
         *settings.readiness,
-        settings.MostCalls(),
+        settings.MaxCallConnections(),
         [self = weak_from_this()](HttpRequest aCall) {
           return AnswerReadiness(self, std::move(aCall));
         });
@@ -208,7 +208,7 @@
       metrics = std::make_unique<HttpServer>(
         executor,
         *settings.metrics,
-        settings.MostCalls(),
+        settings.MaxCallConnections(),
         [self = weak_from_this()](HttpRequest aCall) {
           return AnswerMetrics(self, std::move(aCall));
         });
@@ -332,7 +332,7 @@
   std::unique_ptr<net::FrameMesh> mesh;
   FeedClient feed;
   FeedServer relay;
-  SlotDesk desk;
+  SlotCoordinator desk;
   RequestHandler handler;
   CallerFront callers;
   asio::steady_timer slotTicker;
