--- a/src/librattandyke/gateway/control_host.cpp
+++ b/src/librattandyke/gateway/control_host.cpp
@@ -67,7 +67,7 @@
         OnFrame(aConnection, aMessage);
       },
       [this](const auto& aConnection) {
-        feed.Close(aConnection);
+        feed.Unsubscribe(aConnection);
         std::erase_if(parked, [&](const auto& aOpen) {
           return aOpen.first == aConnection;
         });
@@ -164,7 +164,7 @@
     wire::GatewayState loaded;
     loaded.ParseFromArray(aBytes.data(), static_cast<int>(aBytes.size()));
     state.Load(loaded);
-    feed.Reset();
+    feed.OnStateReplaced();
   };
   callbacks.leadership = [this](std::optional<uint64_t> aTerm) {
     OnLeadership(aTerm);
--- a/src/librattandyke/gateway/control_host_feed.cpp
+++ b/src/librattandyke/gateway/control_host_feed.cpp
@@ -86,7 +86,7 @@
                               const wire::FeedOpen& aOpen)
 {
   if (IsFresh()) {
-    feed.Open(aConnection, aOpen);
+    feed.Subscribe(aConnection, aOpen);
     feed.Ping(aConnection, ControlHosts(), Duration::zero());
   } else if (IsHopeful()) {
     parked.emplace_back(aConnection, aOpen);
@@ -130,7 +130,7 @@
   }
   for (const auto& [connection, open] : std::exchange(parked, {})) {
     if (fresh) {
-      feed.Open(connection, open);
+      feed.Subscribe(connection, open);
     } else {
       connection->Close();
     }
@@ -145,7 +145,7 @@
                                 const wire::FeedReport& aReport)
 {
   if (aReport.leaving()) {
-    feed.Leave(aConnection);
+    feed.MarkLeaving(aConnection);
   }
   waitingReport.mutable_loads()->MergeFrom(aReport.loads());
   waitingReport.mutable_times()->MergeFrom(aReport.times());
@@ -212,7 +212,8 @@
     return;
   }
   feedFlushDue = true;
-  const auto gather = kFeedGatherEach * static_cast<int64_t>(feed.Size());
+  const auto gather =
+    kFeedGatherEach * static_cast<int64_t>(feed.SubscriberCount());
   feedTimer.expires_after(
     std::clamp<Duration>(gather, kLeastFeedGather, kMostFeedGather));
   feedTimer.async_wait([self = weak_from_this()](auto aError) {
@@ -229,7 +230,7 @@
 ControlHost::Impl::Report()
 {
   const auto leader = driver->LeaderHint();
-  for (const wire::EntryMember& entry : feed.Entries()) {
+  for (const wire::EntryMember& entry : feed.ServingEntries()) {
     *waitingReport.add_entries() = entry;
   }
   waitingReport.mutable_sender()->set_address(self.value);
--- a/src/librattandyke/gateway/control_host_log.cpp
+++ b/src/librattandyke/gateway/control_host_log.cpp
@@ -23,7 +23,7 @@
   command.ParseFromArray(aBytes.data(), static_cast<int>(aBytes.size()));
   Result<void> outcome = state.Apply(command, aIndex);
   if (outcome) {
-    feed.Applied(command, aIndex);
+    feed.Publish(command, aIndex);
     FlushFeedSoon();
   }
   if (command.has_free_ranges()) {
--- a/src/librattandyke/gateway/entry_host.cpp
+++ b/src/librattandyke/gateway/entry_host.cpp
@@ -62,7 +62,7 @@
         },
         aClock,
         aSeed)
-    , relay(feed.CurrentState(), FeedServer::WhileAlone::Forget)
+    , relay(feed.CurrentState(), FeedServer::IdleHistory::Discard)
     , desk(
         executor,
         ToString(aSettings.AdvertisedAddress()),
@@ -112,9 +112,9 @@
     }
     handler.StateChanged(aCommand);
     if (aCommand == nullptr) {
-      relay.Reset();
+      relay.OnStateReplaced();
     } else {
-      relay.Applied(*aCommand, feed.CurrentState().Applied());
+      relay.Publish(*aCommand, feed.CurrentState().Applied());
       relay.Flush();
     }
   }
@@ -148,7 +148,7 @@
       aConnection->Close();
       return;
     }
-    relay.Open(aConnection, aOpen);
+    relay.Subscribe(aConnection, aOpen);
     relay.Ping(aConnection, feed.ControlHosts(), feed.StateAge());
   }
 
@@ -157,7 +157,7 @@
                        wire::FeedReport aReport)
   {
     if (aReport.leaving()) {
-      relay.Leave(aConnection);
+      relay.MarkLeaving(aConnection);
       aReport.set_leaving(false);
     }
     feed.Report(aReport);
@@ -184,7 +184,7 @@
         [this](const auto& aConnection, std::string_view aMessage) {
           OnFrame(aConnection, aMessage);
         },
-        [this](const auto& aConnection) { relay.Close(aConnection); } });
+        [this](const auto& aConnection) { relay.Unsubscribe(aConnection); } });
     if (Result<void> started = mesh->Start(); !started) {
       return started;
     }
@@ -279,7 +279,7 @@
       reportedAt = now;
       wire::FeedReport report = handler.TakeLoads();
       report.set_leaving(stopping);
-      for (const wire::EntryMember& entry : relay.Entries()) {
+      for (const wire::EntryMember& entry : relay.ServingEntries()) {
         *report.add_entries() = entry;
       }
       feed.Report(report);
--- a/src/librattandyke/gateway/feed_server.cpp
+++ b/src/librattandyke/gateway/feed_server.cpp
@@ -9,25 +9,26 @@
 
 namespace {
 
-/// Enough for a subscriber that comes back within seconds; others get the whole
-/// state. Of a large state as many commands are kept as it has records: up to
-/// there they are shorter.
-constexpr size_t kLeastRecent = 512;
-/// A longer command is not kept while nobody subscribes.
-constexpr size_t kKeptForNobody = 4096;
-/// A whole state is encoded anew rather than followed by more commands than
-/// this, and than this part of its records: encoding costs what they all do.
-constexpr uint64_t kLeastTail = 128;
-constexpr uint64_t kTailPart = 4;
-/// Pings for which a whole state is kept that nobody asked for: while hosts are
-/// restarted one after the other, each asks a few tenths of a second after the
-/// one before.
-constexpr int kWholeKept = 25;
+/// Commands kept for subscribers that reconnect within seconds; others get a
+/// snapshot. The limit grows by one for each upstream instance, since up to
+/// that number the commands are shorter than a snapshot.
+constexpr size_t kMinHistoryCommands = 512;
+/// Size limit in bytes of a command that is kept while there are no
+/// subscribers.
+constexpr size_t kMaxIdleCommandBytes = 4096;
+/// A cached snapshot is sent only if the commands after it are at most this
+/// many, or at most this fraction of the upstream instances. With more, a new
+/// snapshot costs no more than the commands.
+constexpr uint64_t kMinSnapshotTail = 128;
+constexpr uint64_t kSnapshotTailDivisor = 4;
+/// Rounds of pings for which an unused snapshot stays cached. During a rolling
+/// restart, hosts request it a few tenths of a second apart.
+constexpr int kMaxSnapshotIdlePings = 25;
 
-/// Takes the operators' texts out of items.
+/// Clears the operators' source texts of routes and services.
 template<typename Items>
 void
-DropSources(Items& aItems)
+ClearSources(Items& aItems)
 {
   for (auto& route : *aItems.mutable_routes()) {
     route.clear_source();
@@ -37,12 +38,13 @@
   }
 }
 
-/// Takes out what only control hosts need: entries have a few Mbit/s, over
-/// which a whole state must come before they serve anyone.
+/// Clears the fields of a snapshot that only control hosts need. Links of entry
+/// hosts have a few Mbit/s, and an entry host can't serve callers before it has
+/// received the snapshot.
 void
 StripForEntries(wire::GatewayState& aState)
 {
-  DropSources(aState);
+  ClearSources(aState);
   aState.clear_ended();
   for (wire::ServiceRanges& ranges : *aState.mutable_ranges()) {
     for (wire::RangeSegment& segment : *ranges.mutable_segments()) {
@@ -53,29 +55,29 @@
   }
 }
 
-/// The same for one command of the log.
+/// Clears the fields of a command that only control hosts need.
 void
 StripForEntries(wire::GatewayCommand& aCommand)
 {
-  const auto dropHandovers = [](auto& aRanges) {
+  const auto clearHandovers = [](auto& aRanges) {
     for (wire::KeyRange& range : aRanges) {
       range.clear_handover();
     }
   };
   if (aCommand.has_change_items()) {
-    DropSources(*aCommand.mutable_change_items());
+    ClearSources(*aCommand.mutable_change_items());
   } else if (aCommand.has_grant_ranges()) {
-    dropHandovers(*aCommand.mutable_grant_ranges()->mutable_ranges());
+    clearHandovers(*aCommand.mutable_grant_ranges()->mutable_ranges());
   } else if (aCommand.has_free_ranges()) {
-    dropHandovers(*aCommand.mutable_free_ranges()->mutable_ranges());
+    clearHandovers(*aCommand.mutable_free_ranges()->mutable_ranges());
   }
 }
 
 } // namespace
 
-FeedServer::FeedServer(const State& aState, WhileAlone aWhileAlone)
+FeedServer::FeedServer(const State& aState, IdleHistory aIdleHistory)
   : mState(aState)
-  , mWhileAlone(aWhileAlone)
+  , mIdleHistory(aIdleHistory)
 {
 }
 
@@ -84,30 +86,31 @@
                    const Subscriber& aSubscriber,
                    OutgoingFrame& aFrame)
 {
-  ++mMessages;
-  aConnection->Send(aSubscriber.readsPacked ? aFrame.Compressed()
-                                            : aFrame.Plain());
+  ++mMessagesSent;
+  aConnection->Send(aSubscriber.acceptsCompressed ? aFrame.Compressed()
+                                                  : aFrame.Serialized());
 }
 
 size_t
-FeedServer::MostKept() const
+FeedServer::MaxHistoryCommands() const
 {
-  return kLeastRecent + mState.Instances().size();
+  return kMinHistoryCommands + mState.Instances().size();
 }
 
 void
-FeedServer::Open(const Connection& aConnection, const wire::FeedOpen& aOpen)
+FeedServer::Subscribe(const Connection& aConnection,
+                      const wire::FeedOpen& aOpen)
 {
   Flush();
   Subscriber& subscriber = mSubscribers[aConnection];
-  subscriber.told = aOpen.applied();
+  subscriber.sentIndex = aOpen.applied();
   subscriber.entry = aOpen.entry();
-  subscriber.readsPacked = aOpen.reads_packed();
-  Catch(aConnection, subscriber);
+  subscriber.acceptsCompressed = aOpen.reads_packed();
+  CatchUp(aConnection, subscriber);
 }
 
 void
-FeedServer::Close(const Connection& aConnection)
+FeedServer::Unsubscribe(const Connection& aConnection)
 {
   mSubscribers.erase(aConnection);
 }
@@ -123,7 +126,7 @@
 }
 
 void
-FeedServer::Leave(const Connection& aConnection)
+FeedServer::MarkLeaving(const Connection& aConnection)
 {
   const auto found = mSubscribers.find(aConnection);
   if (found != mSubscribers.end()) {
@@ -132,7 +135,7 @@
 }
 
 std::vector<wire::EntryMember>
-FeedServer::Entries() const
+FeedServer::ServingEntries() const
 {
   std::vector<wire::EntryMember> entries;
   for (const auto& [connection, subscriber] : mSubscribers) {
@@ -143,129 +146,132 @@
   return entries;
 }
 
-/// Safeguard: after a restart of all hosts every entry asks for the whole state
-/// in the same second. Encoded for each of them, it would keep a leader with
-/// half a core so busy that it is deposed, and its successor, too; encoded
-/// once, the newest commands bring it up to date.
-/// @return the index of the state that was sent.
+/// Sends the cached snapshot, or encodes a new one if too many commands follow
+/// the cached one. After a restart of all hosts, every entry requests a
+/// snapshot in the same second. If it were encoded for each of them, a leader
+/// with half a core would miss its heartbeats and lose the leadership, and so
+/// would its successor.
+/// @return the index of the snapshot. The caller sends the commands after it.
 uint64_t
-FeedServer::SendWhole(const Connection& aConnection,
-                      const Subscriber& aSubscriber)
+FeedServer::SendSnapshot(const Connection& aConnection,
+                         const Subscriber& aSubscriber)
 {
   const uint64_t applied = mState.Applied().value;
-  const uint64_t longestTail =
-    std::max(kLeastTail, mState.Instances().size() / kTailPart);
-  const bool usable = mWhole && mWholeIndex >= mForgottenUpTo &&
-                      mWholeIndex + longestTail >= applied;
-  if (!usable) {
+  const uint64_t maxTail = std::max(
+    kMinSnapshotTail, mState.Instances().size() / kSnapshotTailDivisor);
+  const bool reusable = mSnapshot && mSnapshotIndex >= mTrimmedIndex &&
+                        mSnapshotIndex + maxTail >= applied;
+  if (!reusable) {
     wire::GatewayFrame frame;
     wire::GatewayState& state = *frame.mutable_feed_snapshot()->mutable_state();
     state = mState.Save();
     StripForEntries(state);
-    mWhole.emplace(frame);
-    mWholeIndex = applied;
-    ++mEncodings;
+    mSnapshot.emplace(frame);
+    mSnapshotIndex = applied;
+    ++mSnapshotsEncoded;
     log::Line(log::Part::Control, log::Severity::Info)
-      << "encodes the state at index " << applied << " in "
-      << mWhole->Plain().size() << " bytes";
+      << "encoded a snapshot of the state at index " << applied << " in "
+      << mSnapshot->Serialized().size() << " bytes";
   }
-  mWholeIdle = 0;
-  SendTo(aConnection, aSubscriber, *mWhole);
-  return mWholeIndex;
+  mSnapshotIdlePings = 0;
+  SendTo(aConnection, aSubscriber, *mSnapshot);
+  return mSnapshotIndex;
 }
 
 void
-FeedServer::Catch(const Connection& aConnection, Subscriber& aSubscriber)
+FeedServer::CatchUp(const Connection& aConnection, Subscriber& aSubscriber)
 {
   const uint64_t applied = mState.Applied().value;
-  aSubscriber.ahead = aSubscriber.told > applied;
-  if (aSubscriber.told >= applied) {
+  aSubscriber.ahead = aSubscriber.sentIndex > applied;
+  if (aSubscriber.sentIndex >= applied) {
     return;
   }
-  const bool recent =
-    aSubscriber.told > 0 && aSubscriber.told >= mForgottenUpTo;
-  const uint64_t from =
-    recent ? aSubscriber.told : SendWhole(aConnection, aSubscriber);
-  for (Batch& batch : mRecent) {
-    if (batch.last > from) {
+  const bool inHistory =
+    aSubscriber.sentIndex > 0 && aSubscriber.sentIndex >= mTrimmedIndex;
+  const uint64_t sentUpTo =
+    inHistory ? aSubscriber.sentIndex : SendSnapshot(aConnection, aSubscriber);
+  for (Batch& batch : mHistory) {
+    if (batch.lastIndex > sentUpTo) {
       SendTo(aConnection, aSubscriber, batch.frame);
     }
   }
-  aSubscriber.told = applied;
+  aSubscriber.sentIndex = applied;
 }
 
 void
-FeedServer::Applied(const wire::GatewayCommand& aCommand, LogIndex aIndex)
+FeedServer::Publish(const wire::GatewayCommand& aCommand, LogIndex aIndex)
 {
-  const bool forget = mWhileAlone == WhileAlone::Forget ||
-                      aCommand.ByteSizeLong() > kKeptForNobody;
-  if (mSubscribers.empty() && forget) {
-    // An entry host seldom has subscribers, and its thread has better to do.
-    Forget();
+  const bool discard = mIdleHistory == IdleHistory::Discard ||
+                       aCommand.ByteSizeLong() > kMaxIdleCommandBytes;
+  if (mSubscribers.empty() && discard) {
+    // Saves encoding commands that are unlikely to be requested.
+    ClearHistory();
     return;
   }
-  wire::FeedCommand* gathered = mGathered.add_commands();
-  gathered->set_index(aIndex.value);
-  *gathered->mutable_command() = aCommand;
-  StripForEntries(*gathered->mutable_command());
+  wire::FeedCommand* pending = mPending.add_commands();
+  pending->set_index(aIndex.value);
+  *pending->mutable_command() = aCommand;
+  StripForEntries(*pending->mutable_command());
 }
 
-/// Safeguard: while thousands of upstreams register, each command sent alone to
-/// each of a hundred subscribers keeps a control host busy with writes. What
-/// was applied within a few milliseconds is one message, encoded once.
+/// Commands that were applied within a few milliseconds share one message,
+/// which is encoded once. While thousands of upstreams register, a message for
+/// each command and each of a hundred subscribers would keep a control host
+/// busy with writes.
 void
 FeedServer::Flush()
 {
-  if (!HasGathered()) {
+  if (!HasPendingCommands()) {
     return;
   }
-  const auto commands = static_cast<size_t>(mGathered.commands_size());
-  const uint64_t last = mGathered.commands().rbegin()->index();
+  const auto commandCount = static_cast<size_t>(mPending.commands_size());
+  const uint64_t lastIndex = mPending.commands().rbegin()->index();
   wire::GatewayFrame frame;
-  if (commands == 1) {
-    *frame.mutable_feed_command() = std::move(*mGathered.mutable_commands(0));
+  if (commandCount == 1) {
+    *frame.mutable_feed_command() = std::move(*mPending.mutable_commands(0));
   } else {
-    *frame.mutable_feed_commands() = std::move(mGathered);
+    *frame.mutable_feed_commands() = std::move(mPending);
   }
-  mGathered.Clear();
-  mRecent.push_back({ last, commands, OutgoingFrame(frame) });
-  mRecentCommands += commands;
-  while (mRecent.size() > 1 && mRecentCommands > MostKept()) {
-    mForgottenUpTo = mRecent.front().last;
-    mRecentCommands -= mRecent.front().commands;
-    mRecent.pop_front();
+  mPending.Clear();
+  mHistory.push_back({ lastIndex, commandCount, OutgoingFrame(frame) });
+  mHistoryCommands += commandCount;
+  while (mHistory.size() > 1 && mHistoryCommands > MaxHistoryCommands()) {
+    mTrimmedIndex = mHistory.front().lastIndex;
+    mHistoryCommands -= mHistory.front().commandCount;
+    mHistory.pop_front();
   }
-  OutgoingFrame& newest = mRecent.back().frame;
+  OutgoingFrame& newestFrame = mHistory.back().frame;
   for (const Connection& connection : Connections()) {
     const auto found = mSubscribers.find(connection);
-    if (found == mSubscribers.end() || found->second.told >= last) {
+    if (found == mSubscribers.end() || found->second.sentIndex >= lastIndex) {
       continue;
     }
     found->second.ahead = false;
-    found->second.told = last;
-    SendTo(connection, found->second, newest);
+    found->second.sentIndex = lastIndex;
+    SendTo(connection, found->second, newestFrame);
   }
 }
 
-/// Who subscribes from now on gets the whole state.
+/// Discards queued and kept commands and the cached snapshot. New subscribers
+/// get a snapshot.
 void
-FeedServer::Forget()
+FeedServer::ClearHistory()
 {
-  mGathered.Clear();
-  mRecent.clear();
-  mRecentCommands = 0;
-  mWhole.reset();
-  mForgottenUpTo = mState.Applied().value;
+  mPending.Clear();
+  mHistory.clear();
+  mHistoryCommands = 0;
+  mSnapshot.reset();
+  mTrimmedIndex = mState.Applied().value;
 }
 
 void
-FeedServer::Reset()
+FeedServer::OnStateReplaced()
 {
-  Forget();
+  ClearHistory();
   for (const Connection& connection : Connections()) {
     const auto found = mSubscribers.find(connection);
     if (found != mSubscribers.end()) {
-      Catch(connection, found->second);
+      CatchUp(connection, found->second);
     }
   }
 }
@@ -274,8 +280,8 @@
 FeedServer::Ping(const std::vector<std::string>& aControlHosts, Duration aAge)
 {
   Flush();
-  if (mWhole && ++mWholeIdle > kWholeKept) {
-    mWhole.reset();
+  if (mSnapshot && ++mSnapshotIdlePings > kMaxSnapshotIdlePings) {
+    mSnapshot.reset();
   }
   for (const Connection& connection : Connections()) {
     Ping(connection, aControlHosts, aAge);
@@ -305,8 +311,9 @@
   aConnection->Send(frame.SerializeAsString());
 }
 
-/// A subscriber whose queue is full closes, which ends its entry in the map; so
-/// who sends to all goes by this list.
+/// @return a copy of the subscribers' connections. A send to a subscriber whose
+/// queue is full closes its connection, which removes it from mSubscribers, so
+/// loops that send must not iterate over the map.
 std::vector<FeedServer::Connection>
 FeedServer::Connections() const
 {
--- a/src/librattandyke/gateway/feed_server.h
+++ b/src/librattandyke/gateway/feed_server.h
@@ -1,4 +1,4 @@
-/// Tells entry hosts of the replicated state.
+/// Server of the feed, which carries the replicated state to entry hosts.
 #pragma once
 
 #include <deque>
@@ -15,96 +15,111 @@
 
 namespace rattandyke::gateway {
 
-/// Sends each subscriber the whole state once and then every command as it is
-/// applied. Entry hosts serve others in the same way, which may be cut off from
-/// all control hosts. Sent is the state without the operators' texts of items,
-/// which only control hosts need: they are more than half of the bytes. Any
-/// control host serves subscribers; it assures them of being up to date by
-/// pings, and falls silent while it can't be sure. Then they turn to another
-/// host: else a host on the wrong side of a cut would keep its subscribers on
-/// an old state. Not thread-safe.
+/// Sends each subscriber a snapshot of the replicated state and then the
+/// commands that are applied to it. A subscriber that reconnects with a recent
+/// state gets only the commands that it lacks.
+///
+/// Every control host runs a FeedServer. So does every entry host, for entry
+/// hosts that can't reach any control host. Snapshots and commands leave out
+/// what only control hosts need; the operators' source texts of configuration
+/// items alone are more than half of the bytes.
+///
+/// Pings confirm to subscribers that their state is up to date. A host that is
+/// not known to be up to date sends none, and its subscribers turn to another
+/// host. Otherwise a host that is partitioned from the leader would keep its
+/// subscribers on an old state. Not thread-safe.
 class FeedServer
 {
 public:
   using Connection = net::FrameMesh::Connection;
 
-  /// Whether the newest commands are kept while nobody subscribes.
-  enum class WhileAlone
+  /// Whether recent commands are kept while there are no subscribers.
+  enum class IdleHistory
   {
-    /// Subscribers come back within seconds, and lack only these.
+    /// For control hosts: subscribers reconnect within seconds and need only
+    /// the recent commands.
     Keep,
-    /// Subscribers are few and seldom come; they get the whole state.
-    Forget,
+    /// For entry hosts: subscribers are rare and get a snapshot.
+    Discard,
   };
 
   /// @param aState outlives this object.
   explicit FeedServer(const State& aState,
-                      WhileAlone aWhileAlone = WhileAlone::Keep);
+                      IdleHistory aIdleHistory = IdleHistory::Keep);
 
-  /// A subscriber asks for what it lacks.
-  void Open(const Connection& aConnection, const wire::FeedOpen& aOpen);
-  void Close(const Connection& aConnection);
+  /// Adds a subscriber, and sends it the commands after its index, or a
+  /// snapshot and the commands after that.
+  void Subscribe(const Connection& aConnection, const wire::FeedOpen& aOpen);
 
-  /// A command was applied to the state and not refused by it. Subscribers are
-  /// told with the next Flush.
-  void Applied(const wire::GatewayCommand& aCommand, LogIndex aIndex);
+  /// Removes a subscriber. Does not close the connection.
+  void Unsubscribe(const Connection& aConnection);
+
+  /// Queues a command that the state has applied without an error. The next
+  /// Flush sends it to the subscribers.
+  void Publish(const wire::GatewayCommand& aCommand, LogIndex aIndex);
 
   /// @return the number of subscribers.
-  size_t Size() const { return mSubscribers.size(); }
+  size_t SubscriberCount() const { return mSubscribers.size(); }
 
-  /// @return whether commands wait for a Flush.
-  bool HasGathered() const { return mGathered.commands_size() > 0; }
+  /// @return whether commands are queued for the next Flush.
+  bool HasPendingCommands() const { return mPending.commands_size() > 0; }
 
-  /// Tells subscribers what was applied since the last call, in one message.
+  /// Sends the queued commands to the subscribers in one message.
   void Flush();
 
-  /// @return messages sent to subscribers so far.
-  uint64_t Messages() const { return mMessages; }
+  /// @return the number of snapshots and batches of commands sent so far, each
+  /// counted once per subscriber.
+  uint64_t MessagesSent() const { return mMessagesSent; }
 
-  /// @return how often a whole state was encoded.
-  uint64_t Encodings() const { return mEncodings; }
+  /// @return the number of snapshots encoded so far.
+  uint64_t SnapshotsEncoded() const { return mSnapshotsEncoded; }
 
-  /// The state was replaced as a whole.
-  void Reset();
+  /// Discards the history after the state was loaded from a snapshot, and
+  /// brings the subscribers up to date.
+  void OnStateReplaced();
 
-  /// @param aControlHosts the group's members at this moment.
-  /// @param aAge          time since this host was assured of the state; zero
-  /// at a control host.
+  /// Sends the queued commands and pings all subscribers.
+  /// @param aControlHosts addresses of the current members of the control
+  ///                      group.
+  /// @param aAge          time since this host's state was last confirmed to be
+  ///                      up to date; zero at a control host.
   void Ping(const std::vector<std::string>& aControlHosts, Duration aAge);
 
-  /// The same to one subscriber. When all come at once, each must not cost a
-  /// message to all.
+  /// Pings one subscriber. Used for a new subscriber, so that many that connect
+  /// at the same time don't each cause a ping to all.
   void Ping(const Connection& aConnection,
             const std::vector<std::string>& aControlHosts,
             Duration aAge);
 
-  /// Sends all subscribers elsewhere: this host is not sure of its state.
+  /// Closes the connections of all subscribers, so that they turn to another
+  /// host at once. Called while this host is not known to be up to date.
   void CloseAll();
 
-  /// A subscriber will serve no more callers.
-  void Leave(const Connection& aConnection);
+  /// Marks a subscriber as an entry host that is shutting down.
+  void MarkLeaving(const Connection& aConnection);
 
-  /// @return the entry hosts that subscribe here and serve callers.
-  std::vector<wire::EntryMember> Entries() const;
+  /// @return the subscribers that are entry hosts and are not shutting down.
+  std::vector<wire::EntryMember> ServingEntries() const;
 
 private:
   struct Subscriber
   {
-    /// Index up to which it has been told.
-    uint64_t told = 0;
-    /// It knows a newer state than this host; it is told nothing older.
+    /// Index of the last command that was sent.
+    uint64_t sentIndex = 0;
+    /// It has a newer state than this host and gets neither pings nor older
+    /// commands.
     bool ahead = false;
     bool leaving = false;
-    bool readsPacked = false;
+    bool acceptsCompressed = false;
     wire::EntryMember entry;
     std::vector<std::string> controlHosts;
   };
 
-  /// Commands that follow each other, as one frame.
+  /// Consecutive commands encoded as one frame.
   struct Batch
   {
-    uint64_t last = 0;
-    size_t commands = 0;
+    uint64_t lastIndex = 0;
+    size_t commandCount = 0;
     OutgoingFrame frame;
   };
 
@@ -112,29 +127,30 @@
   void SendTo(const Connection& aConnection,
               const Subscriber& aSubscriber,
               OutgoingFrame& aFrame);
-  /// @return as many commands as a whole state has records, or a few more.
-  size_t MostKept() const;
-  void Forget();
-  void Catch(const Connection& aConnection, Subscriber& aSubscriber);
-  uint64_t SendWhole(const Connection& aConnection,
-                     const Subscriber& aSubscriber);
+  /// @return the limit of commands in the history.
+  size_t MaxHistoryCommands() const;
+  void ClearHistory();
+  void CatchUp(const Connection& aConnection, Subscriber& aSubscriber);
+  uint64_t SendSnapshot(const Connection& aConnection,
+                        const Subscriber& aSubscriber);
 
   const State& mState;
-  const WhileAlone mWhileAlone;
+  const IdleHistory mIdleHistory;
   std::map<Connection, Subscriber> mSubscribers;
-  /// Applied, and not told yet.
-  wire::FeedCommands mGathered;
-  /// Newest commands.
-  std::deque<Batch> mRecent;
-  size_t mRecentCommands = 0;
-  /// Commands up to this index are not among them.
-  uint64_t mForgottenUpTo = 0;
-  /// A whole state as a frame, and the pings since it was last sent.
-  std::optional<OutgoingFrame> mWhole;
-  uint64_t mWholeIndex = 0;
-  int mWholeIdle = 0;
-  uint64_t mMessages = 0;
-  uint64_t mEncodings = 0;
+  /// Commands queued for the next Flush.
+  wire::FeedCommands mPending;
+  /// The most recent commands, oldest batch first.
+  std::deque<Batch> mHistory;
+  size_t mHistoryCommands = 0;
+  /// Commands up to this index are not in mHistory.
+  uint64_t mTrimmedIndex = 0;
+  /// The last snapshot as a frame, its index, and the rounds of pings since it
+  /// was last sent.
+  std::optional<OutgoingFrame> mSnapshot;
+  uint64_t mSnapshotIndex = 0;
+  int mSnapshotIdlePings = 0;
+  uint64_t mMessagesSent = 0;
+  uint64_t mSnapshotsEncoded = 0;
 };
 
 } // namespace rattandyke::gateway
--- a/src/librattandyke/gateway/feed_test.cpp
+++ b/src/librattandyke/gateway/feed_test.cpp
@@ -84,7 +84,7 @@
   void Gather(const wire::GatewayCommand& aCommand)
   {
     ASSERT_TRUE(state.Apply(aCommand, LogIndex{ ++index }));
-    server.Applied(aCommand, LogIndex{ index });
+    server.Publish(aCommand, LogIndex{ index });
   }
 
   std::shared_ptr<Subscriber> Subscribe(bool aReadsPacked = false)
@@ -104,7 +104,7 @@
         {} });
     wire::FeedOpen open;
     open.set_reads_packed(aReadsPacked);
-    server.Open(subscriber->near, open);
+    server.Subscribe(subscriber->near, open);
     return subscriber;
   }
 
@@ -167,13 +167,13 @@
     subscribers.push_back(Subscribe());
   }
   for (const uint64_t commands : { 100U, 1000U, 10000U }) {
-    const uint64_t before = server.Messages();
+    const uint64_t before = server.MessagesSent();
     for (uint64_t number = 1; number <= commands; ++number) {
       Gather(PutInstance(number));
     }
     server.Flush();
     Run();
-    EXPECT_EQ(server.Messages() - before, subscribers.size());
+    EXPECT_EQ(server.MessagesSent() - before, subscribers.size());
   }
   for (const auto& subscriber : subscribers) {
     EXPECT_EQ(subscriber->CurrentState().Applied(), state.Applied());
@@ -204,7 +204,7 @@
     for (uint64_t number = 1; number <= fleet; ++number) {
       Apply(PutInstance(number));
     }
-    const uint64_t before = server.Encodings();
+    const uint64_t before = server.SnapshotsEncoded();
     for (uint64_t comer = 0; comer < kComers; ++comer) {
       static_cast<void>(Subscribe());
       for (uint64_t number = 1; number <= fleet / kComers; ++number) {
@@ -212,7 +212,7 @@
       }
       server.CloseAll();
     }
-    EXPECT_LE(server.Encodings() - before, 8U);
+    EXPECT_LE(server.SnapshotsEncoded() - before, 8U);
   }
 }
 
@@ -229,7 +229,7 @@
     server.Ping({}, Duration::zero());
     server.Ping({}, Duration::zero());
   }
-  EXPECT_EQ(server.Encodings(), 1U);
+  EXPECT_EQ(server.SnapshotsEncoded(), 1U);
 }
 
 TEST_F(FeedServerTest, EntriesAreNotSentHandovers)
@@ -295,7 +295,7 @@
   const auto before = Subscribe();
   Run();
   const uint64_t known = index;
-  server.Close(before->near);
+  server.Unsubscribe(before->near);
   wire::GatewayCommand change;
   *change.mutable_change_items() = testing::LargeChange(1400);
   change.mutable_change_items()->add_services()->set_name("desk");
@@ -303,7 +303,7 @@
   Apply(PutInstance(2));
   wire::FeedOpen open;
   open.set_applied(known);
-  server.Open(before->near, open);
+  server.Subscribe(before->near, open);
   Run();
   EXPECT_EQ(before->CurrentState().Items().Routes().size(), 1400U);
   EXPECT_EQ(before->CurrentState().Instances().size(), 2U);
@@ -425,7 +425,7 @@
     return "127.0.0.1:" + std::to_string(mAcceptor.local_endpoint().port());
   }
 
-  size_t Subscribers() const { return mServer.Entries().size(); }
+  size_t Subscribers() const { return mServer.ServingEntries().size(); }
 
   void Ping(const std::vector<std::string>& aHosts)
   {
@@ -446,10 +446,10 @@
            wire::GatewayFrame frame;
            frame.ParseFromArray(aMessage.data(),
                                 static_cast<int>(aMessage.size()));
-           mServer.Open(raw->shared_from_this(), frame.feed_open());
+           mServer.Subscribe(raw->shared_from_this(), frame.feed_open());
          },
           [this, raw = connection.get()] {
-            mServer.Close(raw->shared_from_this());
+            mServer.Unsubscribe(raw->shared_from_this());
           },
           {} });
       Accept();
@@ -523,7 +523,7 @@
       } else {
         served = std::make_shared<net::FrameConnection>(std::move(aSocket));
         served->Start({ [](auto) {}, [] {}, {} });
-        server.Open(served, {});
+        server.Subscribe(served, {});
       }
       accept();
     });
--- a/src/librattandyke/gateway/http_server.cpp
+++ b/src/librattandyke/gateway/http_server.cpp
@@ -27,9 +27,11 @@
 using Parser = http::request_parser<http::string_body>;
 constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
 
-/// Of one call; a configuration of a few thousand routes fits.
+/// Limit of a request's body: 8 MiB, enough for a configuration of a few
+/// thousand routes.
 constexpr uint64_t kMaxBodyBytes = uint64_t{ 8 } * 1024 * 1024;
-/// A caller that neither sends nor takes anything for so long is cut off.
+/// Time limit for receiving a request, counted from the end of the previous
+/// one, and for sending a response. The connection is closed when it expires.
 constexpr std::chrono::seconds kIdleTimeout{ 30 };
 } // namespace
 
@@ -43,18 +45,19 @@
     }
     beast::tcp_stream stream;
     beast::flat_buffer buffer;
-    /// Of the call that is awaited or read.
+    /// Parser of the request that is awaited or being read.
     std::optional<Parser> parser;
-    bool busy = false;
+    /// A request has been read and its response is not yet written.
+    bool handling = false;
   };
 
   Impl(asio::any_io_executor aExecutor,
-       Endpoint aListen,
-       size_t aMostConnections,
+       Endpoint aAddress,
+       size_t aMaxConnections,
        Handler aHandler)
     : executor(std::move(aExecutor))
-    , listen(std::move(aListen))
-    , mostConnections(aMostConnections)
+    , address(std::move(aAddress))
+    , maxConnections(aMaxConnections)
     , handler(std::move(aHandler))
   {
   }
@@ -64,14 +67,14 @@
     acceptor = std::make_shared<net::AcceptLoop>(
       executor, [self = weak_from_this()](tcp::socket aSocket) {
         const auto server = self.lock();
-        if (server && server->sessions.size() < server->mostConnections) {
-          server->Take(std::move(aSocket));
+        if (server && server->sessions.size() < server->maxConnections) {
+          server->Accept(std::move(aSocket));
         }
       });
-    return acceptor->Start(listen, "calls");
+    return acceptor->Start(address, "calls");
   }
 
-  void Take(tcp::socket aSocket)
+  void Accept(tcp::socket aSocket)
   {
     net::TuneSocket(aSocket, std::chrono::milliseconds(kIdleTimeout));
     auto session = std::make_shared<Session>(std::move(aSocket));
@@ -92,44 +95,45 @@
       if (readError) {
         break;
       }
-      aSession->busy = true;
+      aSession->handling = true;
       aSession->stream.expires_never();
       HttpRequest request{ std::string(parser.get().method_string()),
                            std::string(parser.get().target()),
                            std::move(parser.get().body()) };
-      HttpResponse answer = co_await aSelf->handler(std::move(request));
+      HttpResponse result = co_await aSelf->handler(std::move(request));
       http::response<http::string_body> response;
-      response.result(answer.status);
-      response.set(http::field::content_type, answer.contentType);
-      response.body() = std::move(answer.body);
+      response.result(result.status);
+      response.set(http::field::content_type, result.contentType);
+      response.body() = std::move(result.body);
       response.keep_alive(parser.get().keep_alive() && !aSelf->stopped);
       response.prepare_payload();
       aSession->stream.expires_after(kIdleTimeout);
       auto [writeError, written] =
         co_await http::async_write(aSession->stream, response, kAwait);
-      aSession->busy = false;
+      aSession->handling = false;
       if (writeError || !response.keep_alive()) {
         break;
       }
     }
-    ErrorCode ignored; // The other side may be gone already.
+    ErrorCode ignored; // The client may have closed the connection already.
     aSession->stream.socket().shutdown(tcp::socket::shutdown_send, ignored);
     aSelf->sessions.erase(aSession);
   }
 
-  /// @return whether a call is worked on, or has begun to arrive.
-  static bool HasCall(Session& aSession)
+  /// @return whether a request is being received or handled.
+  static bool HasRequest(Session& aSession)
   {
-    ErrorCode ignored; // Nothing can be read after an error.
-    return aSession.busy || aSession.buffer.size() > 0 ||
+    ErrorCode ignored; // available() is 0 after an error.
+    return aSession.handling || aSession.buffer.size() > 0 ||
            (aSession.parser && aSession.parser->got_some()) ||
            aSession.stream.socket().available(ignored) > 0;
   }
 
-  /// Safeguard: a call arrives over a slow link while the host stops, which
-  /// lives on until another leads. Were its read cut, the caller would get no
-  /// answer and not know whether its change was made. So only a wait for a call
-  /// is cut; what has begun to arrive has the idle timeout that runs already.
+  /// Cancels only the reads of connections on which no request has begun to
+  /// arrive. A stopping control host runs until another host is the leader; if
+  /// it cancelled the read of a request that arrives over a slow link, the
+  /// client would get no response and not know whether its change was made. The
+  /// idle timeout still bounds such a read.
   void Stop()
   {
     stopped = true;
@@ -137,15 +141,15 @@
       acceptor->Stop();
     }
     for (const auto& session : sessions) {
-      if (!HasCall(*session)) {
+      if (!HasRequest(*session)) {
         session->stream.cancel();
       }
     }
   }
 
   const asio::any_io_executor executor;
-  const Endpoint listen;
-  const size_t mostConnections;
+  const Endpoint address;
+  const size_t maxConnections;
   const Handler handler;
   std::shared_ptr<net::AcceptLoop> acceptor;
   std::set<std::shared_ptr<Session>> sessions;
@@ -153,12 +157,12 @@
 };
 
 HttpServer::HttpServer(asio::any_io_executor aExecutor,
-                       Endpoint aListen,
-                       size_t aMostConnections,
+                       Endpoint aAddress,
+                       size_t aMaxConnections,
                        Handler aHandler)
   : mImpl(std::make_shared<Impl>(std::move(aExecutor),
-                                 std::move(aListen),
-                                 aMostConnections,
+                                 std::move(aAddress),
+                                 aMaxConnections,
                                  std::move(aHandler)))
 {
 }
--- a/src/librattandyke/gateway/http_server.h
+++ b/src/librattandyke/gateway/http_server.h
@@ -1,4 +1,4 @@
-/// HTTP server for calls that are answered by the host itself.
+/// HTTP server for a host's own endpoints.
 #pragma once
 
 #include <functional>
@@ -13,6 +13,7 @@
 
 namespace rattandyke::gateway {
 
+/// An HTTP request that has been read completely.
 struct HttpRequest
 {
   std::string method;
@@ -20,6 +21,7 @@
   std::string body;
 };
 
+/// The response to an HttpRequest.
 struct HttpResponse
 {
   unsigned status = 200;
@@ -27,28 +29,35 @@
   std::string contentType = "application/json";
 };
 
-/// Answers whole requests, any number on a connection. Runs on one executor
-/// that runs one handler at a time.
+/// HTTP/1.1 server with keep-alive, which passes each complete request to a
+/// handler. Serves the calls of upstreams and operators, readiness checks and
+/// metrics. All methods and the handler run on the executor, which must run one
+/// handler at a time.
 class HttpServer
 {
 public:
   using Handler =
     std::function<boost::asio::awaitable<HttpResponse>(HttpRequest)>;
 
-  /// @param aMostConnections beyond these, new ones are closed: callers go to
-  /// another host. Each upstream keeps one, and one that fell dark leaves its
-  /// own behind for the idle time.
+  /// @param aAddress        address to listen on.
+  /// @param aMaxConnections limit of open connections. A connection beyond it
+  /// is closed as soon as it is accepted, and its client turns to another host.
+  /// Each upstream keeps one connection open; the connection of an upstream
+  /// that stopped without closing it counts until the idle timeout.
+  /// @param aHandler        produces the response to a request.
   HttpServer(boost::asio::any_io_executor aExecutor,
-             Endpoint aListen,
-             size_t aMostConnections,
+             Endpoint aAddress,
+             size_t aMaxConnections,
              Handler aHandler);
   ~HttpServer();
 
-  /// @return Code::AddressInUse if it can't listen.
+  /// Starts to listen.
+  /// @return Code::AddressInUse if the address can't be listened on.
   Result<void> Start();
 
-  /// Closes the listener and connections on which no call is worked on or has
-  /// begun to arrive.
+  /// Closes the listener and the connections that have no request in progress.
+  /// A request that is being received or handled still gets its response, which
+  /// ends its connection.
   void Stop();
 
 private:
--- a/src/librattandyke/gateway/http_server_test.cpp
+++ b/src/librattandyke/gateway/http_server_test.cpp
@@ -18,62 +18,63 @@
 using asio::ip::tcp;
 using namespace testing; // NOLINT(google-build-using-namespace)
 
-constexpr size_t kMostConnections = 3000;
+constexpr size_t kMaxConnections = 3000;
 
-// The host has no descriptor left for one more connection. It must not spend
-// its share of the core on trying again at once; the call that waits is taken
-// once there is room.
-TEST(HttpServer, WithoutDescriptorsItWaits)
+// The process has no free file descriptor, so accept() fails. A server that
+// retried at once would use up its share of the core. The waiting connection is
+// accepted and its request handled once a descriptor is free.
+TEST(HttpServer, WaitsWithoutBusyLoopWhenDescriptorsAreExhausted)
 {
   asio::io_context context;
   const Endpoint address = FreeAddress(context);
-  size_t calls = 0;
+  size_t requests = 0;
   HttpServer server(context.get_executor(),
                     address,
-                    kMostConnections,
+                    kMaxConnections,
                     [&](const HttpRequest&) -> asio::awaitable<HttpResponse> {
-                      ++calls;
+                      ++requests;
                       co_return HttpResponse{ 200, "", "text/plain" };
                     });
   ASSERT_TRUE(server.Start());
-  tcp::socket caller(context);
-  caller.connect(TcpOf(address));
-  asio::write(caller,
+  tcp::socket client(context);
+  client.connect(TcpOf(address));
+  asio::write(client,
               asio::buffer(std::string("GET / HTTP/1.1\r\nHost: h\r\n\r\n")));
-  constexpr size_t kMostHandlers = 100;
-  EXPECT_LT(HandlersWithoutDescriptors(context, kMostHandlers), kMostHandlers);
-  constexpr int kMostRounds = 3000;
-  for (int round = 0; round < kMostRounds && calls == 0; ++round) {
+  constexpr size_t kMaxHandlers = 100;
+  EXPECT_LT(HandlersWithoutDescriptors(context, kMaxHandlers), kMaxHandlers);
+  constexpr int kMaxRounds = 3000;
+  for (int round = 0; round < kMaxRounds && requests == 0; ++round) {
     context.restart();
     context.run_for(std::chrono::milliseconds{ 1 });
   }
-  EXPECT_EQ(calls, 1U);
+  EXPECT_EQ(requests, 1U);
 }
 
-// Guards against a fixed number of connections that a larger fleet exceeds: its
-// upstreams' heartbeats are cut off, and owners lose their keys though they
-// live.
-TEST(HttpServer, AsManyConnectionsAsAreAllowedAreServed)
+// Failure: a fixed connection limit is lower than the number of upstreams. The
+// connections of some are closed, their heartbeats are lost, and they lose
+// their keys although they are running.
+TEST(HttpServer, ServesConnectionsUpToItsLimit)
 {
-  for (const size_t most : { 1U, 50U }) {
+  for (const size_t maxConnections : { 1U, 50U }) {
     asio::io_context context;
     const Endpoint address = FreeAddress(context);
-    size_t calls = 0;
+    size_t requests = 0;
     HttpServer server(context.get_executor(),
                       address,
-                      most,
+                      maxConnections,
                       [&](const HttpRequest&) -> asio::awaitable<HttpResponse> {
-                        ++calls;
+                        ++requests;
                         co_return HttpResponse{ 200, "", "text/plain" };
                       });
     ASSERT_TRUE(server.Start());
-    std::vector<tcp::socket> callers;
-    for (size_t i = 0; i < most + 10; ++i) {
-      tcp::socket& caller = callers.emplace_back(context);
-      caller.connect(TcpOf(address));
-      boost::system::error_code error; // A refused one shows in the count.
+    std::vector<tcp::socket> clients;
+    for (size_t i = 0; i < maxConnections + 10; ++i) {
+      tcp::socket& client = clients.emplace_back(context);
+      client.connect(TcpOf(address));
+      boost::system::error_code
+        error; // A refused connection shows in the count.
       asio::write(
-        caller,
+        client,
         asio::buffer(std::string("GET / HTTP/1.1\r\nHost: h\r\n\r\n")),
         error);
       context.restart();
@@ -81,14 +82,15 @@
     }
     context.restart();
     context.run_for(std::chrono::milliseconds{ 20 });
-    EXPECT_EQ(calls, most);
+    EXPECT_EQ(requests, maxConnections);
   }
 }
 
-// A third of a fleet falls dark and is started anew elsewhere: the leader still
-// has the connections of those that are gone, and gets as many new ones. Every
-// newcomer's heartbeat must be answered: without an answer it holds no keys.
-TEST(HttpServer, ConnectionsOfAFleetAndOfItsSuccessorsAreServed)
+// A third of the upstreams stop without closing their connections, and
+// replacements start on other machines. The leader still has the old
+// connections open when the new ones arrive. It must answer the heartbeat of
+// every replacement: without an answer the replacement owns no keys.
+TEST(HttpServer, ServesReplacedUpstreamsWhileOldConnectionsAreOpen)
 {
   constexpr size_t kUpstreams = 810;
   constexpr size_t kReplaced = 284;
@@ -97,97 +99,99 @@
   ASSERT_TRUE(limit.IsSet());
   asio::io_context context;
   const Endpoint address = FreeAddress(context);
-  size_t calls = 0;
+  size_t requests = 0;
   HttpServer server(context.get_executor(),
                     address,
-                    kMostConnections,
+                    kMaxConnections,
                     [&](const HttpRequest&) -> asio::awaitable<HttpResponse> {
-                      ++calls;
+                      ++requests;
                       co_return HttpResponse{ 200, "", "text/plain" };
                     });
   ASSERT_TRUE(server.Start());
-  std::vector<tcp::socket> callers;
+  std::vector<tcp::socket> clients;
   for (size_t i = 0; i < kUpstreams + kReplaced; ++i) {
-    tcp::socket& caller = callers.emplace_back(context);
-    caller.connect(TcpOf(address));
-    boost::system::error_code error; // A refused one shows in the count.
-    asio::write(caller,
+    tcp::socket& client = clients.emplace_back(context);
+    client.connect(TcpOf(address));
+    boost::system::error_code error; // A refused connection shows in the count.
+    asio::write(client,
                 asio::buffer(std::string("GET / HTTP/1.1\r\nHost: h\r\n\r\n")),
                 error);
     context.restart();
     context.poll();
   }
-  constexpr int kMostRounds = 3000;
-  for (int round = 0; round < kMostRounds && calls < callers.size(); ++round) {
+  constexpr int kMaxRounds = 3000;
+  for (int round = 0; round < kMaxRounds && requests < clients.size();
+       ++round) {
     context.restart();
     context.run_for(std::chrono::milliseconds{ 1 });
   }
-  EXPECT_EQ(calls, kUpstreams + kReplaced);
+  EXPECT_EQ(requests, kUpstreams + kReplaced);
 }
 
-// A control host is stopped while an operator's large call arrives over a slow
-// link. The caller sees its connection end and gets no answer, although the
-// host lives on until another leads: stopping cuts the read of what has begun
-// to arrive, as it does an idle wait.
-TEST(HttpServer, CallThatIsArrivingIsAnsweredAlthoughItStops)
+// Failure: a control host is stopped while a large call of an operator arrives
+// over a slow link. Stop cancels the read of that request as if the connection
+// were idle. The operator gets no response, although the process runs until
+// another host is the leader.
+TEST(HttpServer, StopLetsAnArrivingRequestFinish)
 {
   asio::io_context context;
   const Endpoint address = FreeAddress(context);
-  size_t calls = 0;
+  size_t requests = 0;
   HttpServer server(context.get_executor(),
                     address,
-                    kMostConnections,
+                    kMaxConnections,
                     [&](const HttpRequest&) -> asio::awaitable<HttpResponse> {
-                      ++calls;
+                      ++requests;
                       co_return HttpResponse{ 200, "", "text/plain" };
                     });
   ASSERT_TRUE(server.Start());
-  tcp::socket caller(context);
-  caller.connect(TcpOf(address));
-  const std::string half(1000, 'b');
+  tcp::socket client(context);
+  client.connect(TcpOf(address));
+  const std::string halfBody(1000, 'b');
   asio::write(
-    caller,
+    client,
     asio::buffer("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 2000\r\n\r\n" +
-                 half));
+                 halfBody));
   context.run_for(std::chrono::milliseconds{ 20 });
   server.Stop();
   context.restart();
   context.run_for(std::chrono::milliseconds{ 20 });
   boost::system::error_code error;
-  asio::write(caller, asio::buffer(half), error);
+  asio::write(client, asio::buffer(halfBody), error);
   context.restart();
   context.run_for(std::chrono::milliseconds{ 20 });
-  EXPECT_EQ(calls, 1U) << error.message();
-  std::array<char, 1000> answer{};
-  caller.non_blocking(true);
-  const size_t read = caller.read_some(asio::buffer(answer), error);
-  EXPECT_TRUE(std::string_view(answer.data(), read).starts_with("HTTP/1.1 200"))
+  EXPECT_EQ(requests, 1U) << error.message();
+  std::array<char, 1000> response{};
+  client.non_blocking(true);
+  const size_t read = client.read_some(asio::buffer(response), error);
+  EXPECT_TRUE(
+    std::string_view(response.data(), read).starts_with("HTTP/1.1 200"))
     << error.message();
 }
 
-// A caller keeps a connection on which it calls nothing. It must see its end
-// when the host stops, and not learn of it with its next call.
-TEST(HttpServer, IdleConnectionEndsAsItStops)
+// A client keeps an idle connection open. The server closes it on Stop, so that
+// the client does not find out only when its next request fails.
+TEST(HttpServer, StopClosesIdleConnections)
 {
   asio::io_context context;
   const Endpoint address = FreeAddress(context);
   HttpServer server(context.get_executor(),
                     address,
-                    kMostConnections,
+                    kMaxConnections,
                     [](const HttpRequest&) -> asio::awaitable<HttpResponse> {
                       co_return HttpResponse{};
                     });
   ASSERT_TRUE(server.Start());
-  tcp::socket caller(context);
-  caller.connect(TcpOf(address));
+  tcp::socket client(context);
+  client.connect(TcpOf(address));
   context.run_for(std::chrono::milliseconds{ 20 });
   server.Stop();
   context.restart();
   context.run_for(std::chrono::milliseconds{ 20 });
   std::array<char, 1> byte{};
   boost::system::error_code error;
-  caller.non_blocking(true);
-  caller.read_some(asio::buffer(byte), error);
+  client.non_blocking(true);
+  client.read_some(asio::buffer(byte), error);
   EXPECT_EQ(error, asio::error::eof) << error.message();
 }
 
--- a/src/librattandyke/gateway/metrics.cpp
+++ b/src/librattandyke/gateway/metrics.cpp
@@ -9,30 +9,30 @@
 constexpr std::string_view kPrefix = "rattandyke_gateway_";
 
 double
-Seconds(std::chrono::nanoseconds aTime)
+ToSeconds(std::chrono::nanoseconds aTime)
 {
   return std::chrono::duration<double>(aTime).count();
 }
 
 void
-WriteTimes(std::ostream& aPage,
-           const std::string& aName,
-           const metrics::TimeHistogram& aTimes)
+WriteHistogram(std::ostream& aPage,
+               const std::string& aName,
+               const metrics::TimeHistogram& aHistogram)
 {
-  metrics::Distribution times;
-  aTimes.AddTo(times);
+  metrics::Distribution distribution;
+  aHistogram.AddTo(distribution);
   const std::string name = std::string(kPrefix) + aName + "_seconds";
   const auto bounds = metrics::TimeHistogram::UpperBounds();
   aPage << "# TYPE " << name << " histogram\n";
-  uint64_t sum = 0;
+  uint64_t cumulative = 0;
   for (size_t i = 0; i < bounds.size(); ++i) {
-    sum += times.counts[i];
-    aPage << name << "_bucket{le=\"" << Seconds(bounds[i]) << "\"} " << sum
-          << '\n';
+    cumulative += distribution.counts[i];
+    aPage << name << "_bucket{le=\"" << ToSeconds(bounds[i]) << "\"} "
+          << cumulative << '\n';
   }
-  aPage << name << "_bucket{le=\"+Inf\"} " << times.count << '\n'
-        << name << "_sum " << Seconds(times.sum) << '\n'
-        << name << "_count " << times.count << '\n';
+  aPage << name << "_bucket{le=\"+Inf\"} " << distribution.count << '\n'
+        << name << "_sum " << ToSeconds(distribution.sum) << '\n'
+        << name << "_count " << distribution.count << '\n';
 }
 
 } // namespace
@@ -40,28 +40,28 @@
 void
 Metrics::Increment(std::string_view aName, std::string_view aLabel)
 {
-  ++mCounts[std::string(aName)][std::string(aLabel)];
+  ++mCounters[std::string(aName)][std::string(aLabel)];
 }
 
 void
 Metrics::Observe(std::string_view aName, Duration aTime)
 {
-  mTimes[std::string(aName)].Add(aTime);
+  mHistograms[std::string(aName)].Add(aTime);
 }
 
 void
 Metrics::Set(std::string_view aName, double aValue)
 {
-  mValues[std::string(aName)] = aValue;
+  mGauges[std::string(aName)] = aValue;
 }
 
 std::string
 Metrics::PrometheusText() const
 {
   std::ostringstream page;
-  for (const auto& [name, counts] : mCounts) {
+  for (const auto& [name, values] : mCounters) {
     page << "# TYPE " << kPrefix << name << "_total counter\n";
-    for (const auto& [label, count] : counts) {
+    for (const auto& [label, count] : values) {
       page << kPrefix << name << "_total";
       if (!label.empty()) {
         page << '{' << label << '}';
@@ -69,12 +69,12 @@
       page << ' ' << count << '\n';
     }
   }
-  for (const auto& [name, value] : mValues) {
+  for (const auto& [name, value] : mGauges) {
     page << "# TYPE " << kPrefix << name << " gauge\n"
          << kPrefix << name << ' ' << value << '\n';
   }
-  for (const auto& [name, times] : mTimes) {
-    WriteTimes(page, name, times);
+  for (const auto& [name, histogram] : mHistograms) {
+    WriteHistogram(page, name, histogram);
   }
   return page.str();
 }
--- a/src/librattandyke/gateway/metrics.h
+++ b/src/librattandyke/gateway/metrics.h
@@ -1,4 +1,4 @@
-/// Counters and times of a gateway host, as a text page.
+/// Metrics of a gateway host in Prometheus' text format.
 #pragma once
 
 #include <map>
@@ -11,26 +11,29 @@
 
 namespace rattandyke::gateway {
 
-/// Counts by name and label, and one histogram of times for each name. Not
-/// thread-safe.
+/// A registry of counters, gauges and histograms of durations. Metrics are
+/// created on first use. Not thread-safe.
 class Metrics
 {
 public:
+  /// Increments a counter, which the page shows as aName + "_total".
   /// @param aLabel "key=\"value\"", or empty.
   void Increment(std::string_view aName, std::string_view aLabel = {});
 
+  /// Adds a duration to a histogram, which the page shows as aName +
+  /// "_seconds".
   void Observe(std::string_view aName, Duration aTime);
 
-  /// Sets a value that may rise and fall.
+  /// Sets a gauge.
   void Set(std::string_view aName, double aValue);
 
-  /// @return all of it in Prometheus' text format.
+  /// @return all metrics in Prometheus' text format.
   std::string PrometheusText() const;
 
 private:
-  std::map<std::string, std::map<std::string, uint64_t>> mCounts;
-  std::map<std::string, double> mValues;
-  std::map<std::string, metrics::TimeHistogram> mTimes;
+  std::map<std::string, std::map<std::string, uint64_t>> mCounters;
+  std::map<std::string, double> mGauges;
+  std::map<std::string, metrics::TimeHistogram> mHistograms;
 };
 
 } // namespace rattandyke::gateway
--- a/src/librattandyke/gateway/metrics_test.cpp
+++ b/src/librattandyke/gateway/metrics_test.cpp
@@ -5,7 +5,7 @@
 namespace rattandyke::gateway {
 namespace {
 
-TEST(GatewayMetrics, PageShowsCountsValuesAndTimes)
+TEST(GatewayMetrics, TextContainsCountersGaugesAndHistograms)
 {
   Metrics metrics;
   metrics.Increment("requests", "status=\"200\"");
@@ -14,17 +14,18 @@
   metrics.Set("state_index", 7);
   metrics.Observe("request", std::chrono::milliseconds{ 20 });
   const std::string page = metrics.PrometheusText();
-  const auto has = [&](const std::string& aLine) {
+  const auto expectLine = [&](const std::string& aLine) {
     EXPECT_NE(page.find(aLine + "\n"), std::string::npos) << aLine;
   };
-  has("rattandyke_gateway_requests_total{status=\"200\"} 2");
-  has("rattandyke_gateway_connects_total 1");
-  has("rattandyke_gateway_state_index 7");
-  has("rattandyke_gateway_request_seconds_count 1");
-  has("rattandyke_gateway_request_seconds_bucket{le=\"+Inf\"} 1");
+  expectLine("rattandyke_gateway_requests_total{status=\"200\"} 2");
+  expectLine("rattandyke_gateway_connects_total 1");
+  expectLine("rattandyke_gateway_state_index 7");
+  expectLine("rattandyke_gateway_request_seconds_count 1");
+  expectLine("rattandyke_gateway_request_seconds_bucket{le=\"+Inf\"} 1");
 }
 
-// A scraper adds buckets up: each must count all that are shorter, too.
+// In Prometheus' format a bucket counts all durations up to its bound, not only
+// those above the previous bound.
 TEST(GatewayMetrics, BucketsAreCumulative)
 {
   Metrics metrics;
--- a/src/librattandyke/gateway/outgoing_frame.cpp
+++ b/src/librattandyke/gateway/outgoing_frame.cpp
@@ -8,8 +8,9 @@
 
 namespace {
 
-/// Frames shorter than this leave a link of 2 Mbit/s within 8 ms.
-constexpr size_t kWorthPacking = 2048;
+/// Frames shorter than this, in bytes, are not compressed: a link of 2 Mbit/s
+/// sends them within 8 ms.
+constexpr size_t kMinCompressedSize = 2048;
 
 const Bytef*
 BytesOf(const std::string& aText)
@@ -23,9 +24,10 @@
   return reinterpret_cast<Bytef*>(aText.data());
 }
 
-/// @return whether it could be compressed.
+/// Compresses a serialized frame.
+/// @return whether it succeeded.
 bool
-Compress(const std::string& aFrame, wire::PackedFrame& aPacked)
+CompressInto(const std::string& aFrame, wire::PackedFrame& aPacked)
 {
   uLongf size = compressBound(aFrame.size());
   std::string bytes(size, '\0');
@@ -42,17 +44,18 @@
 const std::string&
 OutgoingFrame::Compressed()
 {
-  if (mPlain.size() < kWorthPacking) {
-    return mPlain;
+  if (mSerialized.size() < kMinCompressedSize) {
+    return mSerialized;
   }
-  if (mPacked.empty()) {
+  if (mCompressed.empty()) {
     wire::GatewayFrame frame;
-    // It fails only for want of memory; the frame as it is serves, too.
-    mPacked = Compress(mPlain, *frame.mutable_packed())
-                ? frame.SerializeAsString()
-                : mPlain;
+    // compress() fails only if memory runs out; the frame is then sent as it
+    // is.
+    mCompressed = CompressInto(mSerialized, *frame.mutable_packed())
+                    ? frame.SerializeAsString()
+                    : mSerialized;
   }
-  return mPacked;
+  return mCompressed;
 }
 
 std::optional<wire::GatewayFrame>
@@ -66,9 +69,9 @@
   const int error = uncompress(
     BytesOf(bytes), &size, BytesOf(aPacked.bytes()), aPacked.bytes().size());
   wire::GatewayFrame frame;
-  const bool whole =
+  const bool valid =
     error == Z_OK && size == bytes.size() && frame.ParseFromString(bytes);
-  if (!whole || frame.has_packed()) {
+  if (!valid || frame.has_packed()) {
     return std::nullopt;
   }
   return frame;
--- a/src/librattandyke/gateway/outgoing_frame.h
+++ b/src/librattandyke/gateway/outgoing_frame.h
@@ -1,4 +1,4 @@
-/// Long messages between hosts, compressed.
+/// Messages between hosts, compressed if they are long.
 #pragma once
 
 #include <optional>
@@ -8,36 +8,36 @@
 
 namespace rattandyke::gateway {
 
-/// A frame as it is sent to one or many, also compressed for those who read
-/// that. Compressed once, and only if it is asked for.
+/// A serialized frame that can be sent to several receivers, either as it is or
+/// compressed. It is compressed once, on the first use of Compressed().
 ///
-/// Safeguard: 1,400 routes are 100 KB, which keep the link of 2 Mbit/s of a
-/// small entry host busy for 0.4 s. Requests and answers wait behind them and
-/// come late. Names and paths compress to a fifth, so that the link is busy for
-/// 0.07 s (measured at 70 hosts), at a cost of 2 ms of a core for each frame at
-/// the sender and 0.5 ms at the receiver.
+/// 1,400 routes take 100 KB, which occupy the link of 2 Mbit/s of a small entry
+/// host for 0.4 s and delay the requests and answers queued behind them. Names
+/// and paths compress to a fifth, which takes 0.07 s (measured at 70 hosts).
+/// Each frame costs 2 ms of a core at the sender and 0.5 ms at the receiver.
 class OutgoingFrame
 {
 public:
   explicit OutgoingFrame(const wire::GatewayFrame& aFrame)
-    : mPlain(aFrame.SerializeAsString())
+    : mSerialized(aFrame.SerializeAsString())
   {
   }
 
-  /// @return the frame, serialized.
-  const std::string& Plain() const { return mPlain; }
+  /// @return the serialized frame, not compressed.
+  const std::string& Serialized() const { return mSerialized; }
 
-  /// @return a frame that holds this one compressed, or this one if it is too
-  /// short for that.
+  /// @return a serialized frame that contains this one as a PackedFrame, or the
+  /// same as Serialized() if the frame is too short to be worth compressing.
   const std::string& Compressed();
 
 private:
-  std::string mPlain;
-  std::string mPacked;
+  std::string mSerialized;
+  std::string mCompressed;
 };
 
-/// @return the frame in it; nothing if it can't be read, holds a packed frame
-/// again or is longer than any frame may be.
+/// Decompresses a frame.
+/// @return nothing if the data is corrupt, contains another PackedFrame or
+/// exceeds the size limit of a frame.
 std::optional<wire::GatewayFrame> DecompressFrame(
   const wire::PackedFrame& aPacked);
 
--- a/src/librattandyke/gateway/outgoing_frame_test.cpp
+++ b/src/librattandyke/gateway/outgoing_frame_test.cpp
@@ -18,7 +18,7 @@
 }
 
 std::optional<wire::GatewayFrame>
-Unpacked(const std::string& aBytes)
+Decompress(const std::string& aBytes)
 {
   wire::GatewayFrame outer;
   EXPECT_TRUE(outer.ParseFromString(aBytes));
@@ -26,56 +26,57 @@
   return DecompressFrame(outer.packed());
 }
 
-TEST(PackedFrameTest, LongFrameComesBackAsItWas)
+TEST(OutgoingFrameTest, LongFrameSurvivesARoundTrip)
 {
   const wire::GatewayFrame frame = FrameOf(1400);
   OutgoingFrame outgoing(frame);
-  const auto back = Unpacked(outgoing.Compressed());
-  ASSERT_TRUE(back);
-  EXPECT_EQ(back->SerializeAsString(), outgoing.Plain());
+  const auto decompressed = Decompress(outgoing.Compressed());
+  ASSERT_TRUE(decompressed);
+  EXPECT_EQ(decompressed->SerializeAsString(), outgoing.Serialized());
 }
 
-// A host with a link of 2 Mbit/s answers nobody while a long message comes
-// over it. A third of its size is a third of that time.
-TEST(PackedFrameTest, RoutesAreAThirdOfTheirSizeOrLess)
+// A host with a link of 2 Mbit/s can't serve callers while a long message
+// occupies the link. At a third of the size it takes a third of the time.
+TEST(OutgoingFrameTest, RoutesShrinkToAThirdOrLess)
 {
   OutgoingFrame outgoing(FrameOf(1400));
-  EXPECT_LE(outgoing.Compressed().size() * 3, outgoing.Plain().size());
+  EXPECT_LE(outgoing.Compressed().size() * 3, outgoing.Serialized().size());
 }
 
-TEST(PackedFrameTest, ShortFrameStaysAsItIs)
+TEST(OutgoingFrameTest, ShortFrameIsNotCompressed)
 {
   OutgoingFrame outgoing(FrameOf(3));
-  EXPECT_EQ(outgoing.Compressed(), outgoing.Plain());
+  EXPECT_EQ(outgoing.Compressed(), outgoing.Serialized());
 }
 
-// A packed frame in a packed frame could be made to unfold without end.
-TEST(PackedFrameTest, PackedFrameHoldsNoPackedOne)
+// Nested compressed frames could be made to expand without limit.
+TEST(OutgoingFrameTest, NestedCompressedFrameIsRejected)
 {
   OutgoingFrame inner(FrameOf(1400));
   wire::GatewayFrame middle;
   ASSERT_TRUE(middle.ParseFromString(inner.Compressed()));
   OutgoingFrame outer(middle);
-  EXPECT_FALSE(Unpacked(outer.Compressed()));
+  EXPECT_FALSE(Decompress(outer.Compressed()));
 }
 
-RC_GTEST_PROP(PackedFrameTest, DamagedFrameIsNeverReadAsAnother, ())
+RC_GTEST_PROP(OutgoingFrameTest, CorruptFrameIsNeverReadAsAnother, ())
 {
   OutgoingFrame outgoing(FrameOf(60));
   wire::GatewayFrame outer;
   RC_ASSERT(outer.ParseFromString(outgoing.Compressed()));
   wire::PackedFrame& packed = *outer.mutable_packed();
-  const auto at = *rc::gen::inRange<size_t>(0, packed.bytes().size());
+  const auto position = *rc::gen::inRange<size_t>(0, packed.bytes().size());
   if (*rc::gen::arbitrary<bool>()) {
-    packed.mutable_bytes()->resize(at);
+    packed.mutable_bytes()->resize(position);
   } else if (*rc::gen::arbitrary<bool>()) {
-    packed.set_size(static_cast<uint32_t>(at));
+    packed.set_size(static_cast<uint32_t>(position));
   } else {
-    (*packed.mutable_bytes())[at] ^= *rc::gen::inRange(1, 0x100);
+    (*packed.mutable_bytes())[position] ^= *rc::gen::inRange(1, 0x100);
   }
-  const auto read = DecompressFrame(packed);
-  const bool same = read && read->SerializeAsString() == outgoing.Plain();
-  RC_ASSERT(same || !read.has_value());
+  const auto decompressed = DecompressFrame(packed);
+  const bool same =
+    decompressed && decompressed->SerializeAsString() == outgoing.Serialized();
+  RC_ASSERT(same || !decompressed.has_value());
 }
 
 } // namespace
