--- a/src/librattandyke/gateway/control_host_calls.cpp
+++ b/src/librattandyke/gateway/control_host_calls.cpp
@@ -101,7 +101,7 @@
   }
   if (dialect.IsHeartbeat(aCall.method, aCall.target)) {
     Result<ControlCall> call =
-      dialect.Decode(aCall.method, aCall.target, aCall.body);
+      dialect.DecodeCall(aCall.method, aCall.target, aCall.body);
     if (!call) {
       co_return Unread(aCall, call.error());
     }
@@ -163,7 +163,7 @@
 ControlHost::Impl::HandleAsLeader(const HttpRequest& aCall)
 {
   Result<ControlCall> call =
-    dialect.Decode(aCall.method, aCall.target, aCall.body);
+    dialect.DecodeCall(aCall.method, aCall.target, aCall.body);
   if (!call) {
     co_return Unread(aCall, call.error());
   }
--- a/src/librattandyke/gateway/entry_host.cpp
+++ b/src/librattandyke/gateway/entry_host.cpp
@@ -3,7 +3,7 @@
 #include <boost/asio/steady_timer.hpp>
 
 #include "base/endpoint.h"
-#include "gateway/caller_front.h"
+#include "gateway/caller_server.h"
 #include "gateway/feed_client.h"
 #include "gateway/feed_server.h"
 #include "gateway/http_server.h"
@@ -69,7 +69,7 @@
         aSeed,
         [this](const HostName& aTo, const wire::GatewayFrame& aFrame) {
           const std::string bytes = aFrame.SerializeAsString();
-          handler.NoteSent(bytes.size());
+          handler.RecordSent(bytes.size());
           mesh->Send(aTo, bytes);
         },
         aClock,
@@ -277,7 +277,7 @@
     }
     if (now - reportedAt >= kReportInterval) {
       reportedAt = now;
-      wire::FeedReport report = handler.TakeLoads();
+      wire::FeedReport report = handler.TakeLoadReport();
       report.set_leaving(stopping);
       for (const wire::EntryMember& entry : relay.ServingEntries()) {
         *report.add_entries() = entry;
@@ -300,7 +300,7 @@
     const Duration left = stoppedAt + settings.shutdownGrace - aNow;
     const bool late = left <= kGraceMargin && lastCalled;
     if (left <= kGraceMargin + kSweepInterval) {
-      callers.LastCall();
+      callers.ExpireRequests();
       lastCalled = true;
     }
     const bool idle = callers.IsClosed();
@@ -334,7 +334,7 @@
   FeedServer relay;
   SlotCoordinator desk;
   RequestHandler handler;
-  CallerFront callers;
+  CallerServer callers;
   asio::steady_timer slotTicker;
   std::unique_ptr<HttpServer> readiness;
   std::unique_ptr<HttpServer> metrics;
