--- a/src/librattandyke/gateway/control_host.cpp
+++ b/src/librattandyke/gateway/control_host.cpp
@@ -44,7 +44,7 @@
   , dialect(aDialect)
   , clock(aClock)
   , seed(aSeed)
-  , self{ ToString(aSettings.Self()) }
+  , self{ ToString(aSettings.AdvertisedAddress()) }
   , granter({ aSettings.hold, aSettings.heartbeatInterval, kForgetAfter })
   , feed(state)
   , ticker(executor)
@@ -83,7 +83,7 @@
   calls =
     std::make_unique<CallServer>(executor,
                                  *settings.calls,
-                                 settings.MostCalls(),
+                                 settings.MaxCallConnections(),
                                  [self = weak_from_this()](CallRequest aCall) {
                                    return HandleWeak(self, std::move(aCall));
                                  });
@@ -94,7 +94,7 @@
     metricsServer = std::make_unique<CallServer>(
       executor,
       *settings.metrics,
-      settings.MostCalls(),
+      settings.MaxCallConnections(),
       [self = weak_from_this()](CallRequest aCall) {
         return AnswerMetrics(self, std::move(aCall));
       });
@@ -128,7 +128,7 @@
 {
   consensus::Driver::Options options;
   options.name = self;
-  options.address = settings.Self();
+  options.address = settings.AdvertisedAddress();
   options.dataFolder = settings.dataFolder;
   for (const Endpoint& host : settings.seeds) {
     options.controlHosts.push_back({ HostName{ ToString(host) }, host });
--- a/src/librattandyke/gateway/dialect.h
+++ b/src/librattandyke/gateway/dialect.h
@@ -1,4 +1,4 @@
-/// How a deployment's platform words what the gateway is told and answers.
+/// Interface to the message formats of a deployment's platform.
 #pragma once
 
 #include <memory>
@@ -15,52 +15,58 @@
 
 namespace rattandyke::gateway {
 
-/// An instance leaves: nothing more is to be sent to it.
+/// Call by which an upstream instance announces its shutdown. It receives no
+/// further requests.
 struct Deregistration
 {
+  /// Id of the instance.
   std::string instance;
   /// See Heartbeat::life.
   uint64_t life = 0;
 };
 
-/// An operator wants nothing sent to the upstreams of a data centre any more,
-/// or allows it again.
+/// Operator's call that starts or ends the evacuation of a data centre. During
+/// an evacuation the data centre's upstreams receive no new requests.
 struct Evacuation
 {
   DataCentre dataCentre;
+  /// Whether the call ends the evacuation rather than starts it.
   bool ends = false;
 };
 
-/// The items that stand, as operators wrote them.
+/// Operator's call for the current configuration items.
 struct ReadItems
 {};
 
-/// A call to a control host.
+/// Decoded call of an upstream or operator to a control host.
 using ControlCall = std::
   variant<Heartbeat, Deregistration, wire::ChangeItems, Evacuation, ReadItems>;
 
 /// Names of the HTTP headers between callers, entry hosts and upstreams.
 struct HeaderNames
 {
-  /// Names one attempt of a caller; an upstream repeats it in its answer.
+  /// Request: id of one attempt of the caller. An upstream repeats it in its
+  /// answer.
   std::string requestId;
-  /// Milliseconds for which the sender will wait.
+  /// Request: milliseconds for which the sender waits for the answer.
   std::string deadline;
-  /// An upstream's proof that the answer is its own.
+  /// Answer: signature of the upstream, which shows that the answer is its own.
   std::string signature;
-  /// Instance that a request is meant for; any other refuses it.
+  /// Request: id of the instance that is to run it. Other instances refuse it.
   std::string expectedInstance;
-  /// In an answer: the upstream did not run the request.
+  /// Answer: the upstream did not run the request.
   std::string notExecuted;
+  /// Answer: id of the instance.
   std::string instance;
-  /// Key of a request to a service whose keys have owners.
+  /// Request: key, for a service whose keys are owned by upstreams.
   std::string key;
-  /// In an answer: the upstream's load, see Dialect::DecodeLoad.
+  /// Answer: load report of the upstream, see Dialect::DecodeLoad.
   std::string load;
 };
 
-/// Translates between a platform's messages and the gateway's types. Decides
-/// nothing and keeps no state. Thread-safe.
+/// Translates between the messages of a platform and the types of the gateway.
+/// Implementations are stateless plug-ins that contain no decisions.
+/// Thread-safe.
 class Dialect
 {
 public:
@@ -68,32 +74,37 @@
 
   virtual const HeaderNames& Headers() const = 0;
 
-  /// @return what a call to a control host asks for. Code::UnknownRecord if
-  /// there is no such call, Code::InvalidRecord if it can't be read in full.
+  /// Decodes a call to a control host.
+  /// @return the call, Code::UnknownRecord if method and target name none, or
+  /// Code::InvalidRecord if the body is incomplete or malformed.
   virtual Result<ControlCall> Decode(std::string_view aMethod,
                                      std::string_view aTarget,
                                      std::string_view aBody) const = 0;
 
-  /// @return what an upstream tells with HeaderNames::load, or nothing if it
-  /// can't be read.
+  /// Decodes the value of the HeaderNames::load header.
+  /// @return the load report, or std::nullopt if the value is malformed.
   virtual std::optional<ToldLoad> DecodeLoad(std::string_view aText) const = 0;
 
-  /// @return whether a call is a heartbeat, by its method and path alone.
+  /// @return whether method and target are those of a heartbeat. The body is
+  /// not checked.
   virtual bool IsHeartbeat(std::string_view aMethod,
                            std::string_view aTarget) const = 0;
 
+  /// @return the body of the answer to a heartbeat.
   virtual std::string Encode(const HeartbeatAnswer& aAnswer) const = 0;
 
-  /// @return the items in force, laid out as operators send them.
+  /// @return the body of the answer to ReadItems, in the format in which
+  /// operators submit items.
   virtual std::string EncodeItems(const wire::GatewayState& aItems) const = 0;
 
-  /// @return the body of a failure.
+  /// @return the body of an error answer.
   virtual std::string Encode(const Error& aError) const = 0;
 
-  /// @return whether a GET of this path asks if an entry host is ready.
+  /// @return whether the target is that of an entry host's readiness check.
   virtual bool IsReadinessPath(std::string_view aTarget) const = 0;
 };
 
+/// Registry of the dialects by the name in the `dialect` setting.
 using DialectRegistry = Registry<Dialect>;
 
 } // namespace rattandyke::gateway
--- a/src/librattandyke/gateway/entry_host.cpp
+++ b/src/librattandyke/gateway/entry_host.cpp
@@ -65,7 +65,7 @@
     , relay(feed.Known(), FeedServer::WhileAlone::Forget)
     , desk(
         executor,
-        ToString(aSettings.Self()),
+        ToString(aSettings.AdvertisedAddress()),
         aSeed,
         [this](const HostName& aTo, const wire::GatewayFrame& aFrame) {
           const std::string bytes = aFrame.SerializeAsString();
@@ -78,7 +78,7 @@
                               aSettings.evacuationTimeout,
                               aSettings.coldFactor,
                               aSettings.coldSlack,
-                              ToString(aSettings.Self()),
+                              ToString(aSettings.AdvertisedAddress()),
                               aSettings.dataCentre },
         [this] { return feed.Age(); })
     , handler(executor,
@@ -98,7 +98,7 @@
   static wire::EntryMember SelfOf(const Settings& aSettings)
   {
     wire::EntryMember self;
-    self.set_address(ToString(aSettings.Self()));
+    self.set_address(ToString(aSettings.AdvertisedAddress()));
     self.set_data_centre(aSettings.dataCentre.value);
     return self;
   }
@@ -196,7 +196,7 @@
       readiness = std::make_unique<CallServer>(
         executor,
         *settings.readiness,
-        settings.MostCalls(),
+        settings.MaxCallConnections(),
         [self = weak_from_this()](CallRequest aCall) {
           return AnswerReadiness(self, std::move(aCall));
         });
@@ -208,7 +208,7 @@
       metrics = std::make_unique<CallServer>(
         executor,
         *settings.metrics,
-        settings.MostCalls(),
+        settings.MaxCallConnections(),
         [self = weak_from_this()](CallRequest aCall) {
           return AnswerMetrics(self, std::move(aCall));
         });
--- a/src/librattandyke/gateway/feed_client.cpp
+++ b/src/librattandyke/gateway/feed_client.cpp
@@ -140,8 +140,8 @@
   /// @return whether a control host is known to be in this data centre.
   bool IsNear(const std::string& aHost) const
   {
-    const auto known = state.Controls().find(aHost);
-    return known != state.Controls().end() &&
+    const auto known = state.ControlHosts().find(aHost);
+    return known != state.ControlHosts().end() &&
            known->second.data_centre() == options.self.data_centre();
   }
 
--- a/src/librattandyke/gateway/items.cpp
+++ b/src/librattandyke/gateway/item_table.cpp
@@ -1,4 +1,4 @@
-#include "gateway/items.h"
+#include "gateway/item_table.h"
 
 #include <cmath>
 #include <optional>
@@ -16,37 +16,40 @@
   return Fail(Code::InvalidRecord, aText);
 }
 
-/// What a route must be, whatever the other items are.
+/// Checks the fields of a route that do not depend on other items.
 Result<void>
-CheckAlone(const wire::RouteItem& aRoute)
+CheckRoute(const wire::RouteItem& aRoute)
 {
   const std::string name = "Route '" + aRoute.name() + "'";
   if (aRoute.host().empty()) {
-    return Invalid(name + " names no host.");
+    return Invalid(name + " has no host.");
   }
   const std::string& prefix = aRoute.prefix();
   if (!prefix.starts_with('/') || !prefix.ends_with('/')) {
-    return Invalid(name + " has a prefix without a slash at both ends.");
+    return Invalid(name +
+                   " has a prefix that does not begin and end with a slash.");
   }
   if (aRoute.max_attempts() == 0) {
-    return Invalid(name + " allows no attempt.");
+    return Invalid(name + " has max_attempts 0.");
   }
   if (aRoute.timeout_ms() == 0) {
-    return Invalid(name + " has no timeout.");
+    return Invalid(name + " has no timeout, or a timeout of 0.");
   }
   double sum = 0;
   for (const wire::RoutePart& part : aRoute.parts()) {
     if (!std::isfinite(part.weight()) || part.weight() < 0) {
-      return Invalid(name + " has a weight below 0.");
+      return Invalid(name + " has a weight that is negative or not finite.");
     }
     sum += part.weight();
   }
   if (sum <= 0) {
-    return Invalid(name + " sends requests to no service.");
+    return Invalid(name + " has no part with a weight above 0.");
   }
   return {};
 }
 
+/// @return the version at which the item of that name was last set or dropped,
+/// or std::nullopt if the name is unknown.
 template<typename Item>
 std::optional<uint64_t>
 VersionOf(const std::map<std::string, Item>& aItems,
@@ -62,16 +65,19 @@
   return std::nullopt;
 }
 
-/// @return whether the item in force is this one, under the same version.
+/// @return whether the current item of that name has the same version and
+/// contents.
 template<typename Item>
 bool
-IsInForce(const std::map<std::string, Item>& aItems, const Item& aItem)
+IsCurrent(const std::map<std::string, Item>& aItems, const Item& aItem)
 {
   const auto found = aItems.find(aItem.name());
   return found != aItems.end() && found->second.version() == aItem.version() &&
          found->second.source() == aItem.source();
 }
 
+/// Refuses an item whose version is already used for other contents or for a
+/// drop.
 template<typename Item>
 Result<void>
 CheckVersion(const std::map<std::string, Item>& aItems,
@@ -79,13 +85,15 @@
              const Item& aItem)
 {
   const auto version = VersionOf(aItems, aDropped, aItem.name());
-  if (version == aItem.version() && !IsInForce(aItems, aItem)) {
+  if (version == aItem.version() && !IsCurrent(aItems, aItem)) {
     return Fail(Code::RevisionConflict,
-                "'" + aItem.name() + "' has this version with other contents.");
+                "'" + aItem.name() +
+                  "' already has this version with other contents.");
   }
   return {};
 }
 
+/// Refuses a drop whose version is already used for the current item.
 template<typename Item>
 Result<void>
 CheckDrop(const std::map<std::string, Item>& aItems,
@@ -94,33 +102,35 @@
   const auto found = aItems.find(aDrop.name());
   if (found != aItems.end() && found->second.version() == aDrop.version()) {
     return Fail(Code::RevisionConflict,
-                "'" + aDrop.name() + "' has this version and stands.");
+                "'" + aDrop.name() +
+                  "' already has this version and is not dropped.");
   }
   return {};
 }
 
-/// @return whether a version of an item comes into force over the one known.
+/// @return whether a version supersedes the known one; any version does if none
+/// is known.
 bool
 IsNewer(uint64_t aVersion, std::optional<uint64_t> aKnown)
 {
   return !aKnown || aVersion > *aKnown;
 }
 
-/// What a change makes of the items of one kind that it names. Refers to the
-/// change.
+/// Items of one kind that a change sets or drops, without changes that are
+/// superseded. Holds pointers into the change, which must outlive it.
 template<typename Item>
-class ItemsOutcome
+class ItemChanges
 {
 public:
-  struct Changed
+  struct Change
   {
     uint64_t version = 0;
-    /// The item to come, or nullptr if it goes.
+    /// The new item, or nullptr for a drop.
     const Item* item = nullptr;
   };
 
-  ItemsOutcome(const std::map<std::string, Item>& aItems,
-               const std::map<std::string, uint64_t>& aDropped)
+  ItemChanges(const std::map<std::string, Item>& aItems,
+              const std::map<std::string, uint64_t>& aDropped)
     : mItems(aItems)
     , mDropped(aDropped)
   {
@@ -128,64 +138,67 @@
 
   void Put(const Item& aItem)
   {
-    Take(aItem.name(), { aItem.version(), &aItem });
+    Record(aItem.name(), { aItem.version(), &aItem });
   }
 
   void Drop(const wire::DroppedItem& aDrop)
   {
-    Take(aDrop.name(), { aDrop.version(), nullptr });
+    Record(aDrop.name(), { aDrop.version(), nullptr });
   }
 
-  /// @return what is changed, by name.
-  const std::map<std::string_view, Changed>& All() const { return mChanged; }
+  /// @return the changes that take effect, by name.
+  const std::map<std::string_view, Change>& All() const { return mChanges; }
 
-  /// @return whether an item of that name stands afterwards.
-  bool Stands(const std::string& aName) const
+  /// @return whether an item of that name exists after the change.
+  bool ExistsAfter(const std::string& aName) const
   {
-    const auto changed = mChanged.find(aName);
-    return changed == mChanged.end() ? mItems.contains(aName)
-                                     : changed->second.item != nullptr;
+    const auto change = mChanges.find(aName);
+    return change == mChanges.end() ? mItems.contains(aName)
+                                    : change->second.item != nullptr;
   }
 
 private:
-  void Take(const std::string& aName, Changed aChanged)
+  /// Keeps the change of the highest version for each name.
+  void Record(const std::string& aName, Change aChange)
   {
-    const auto known = mChanged.find(aName);
-    if (known != mChanged.end()) {
-      if (aChanged.version > known->second.version) {
-        known->second = aChanged;
+    const auto known = mChanges.find(aName);
+    if (known != mChanges.end()) {
+      if (aChange.version > known->second.version) {
+        known->second = aChange;
       }
-    } else if (IsNewer(aChanged.version, VersionOf(mItems, mDropped, aName))) {
-      mChanged.emplace(aName, aChanged);
+    } else if (IsNewer(aChange.version, VersionOf(mItems, mDropped, aName))) {
+      mChanges.emplace(aName, aChange);
     }
   }
 
   const std::map<std::string, Item>& mItems;
   const std::map<std::string, uint64_t>& mDropped;
-  std::map<std::string_view, Changed> mChanged;
+  std::map<std::string_view, Change> mChanges;
 };
 
-/// Brings items into force and takes others out of it.
+/// Sets and drops items of one kind.
 template<typename Item>
 void
-Follow(const ItemsOutcome<Item>& aOutcome,
-       std::map<std::string, Item>& aItems,
-       std::map<std::string, uint64_t>& aDropped)
+ApplyChanges(const ItemChanges<Item>& aChanges,
+             std::map<std::string, Item>& aItems,
+             std::map<std::string, uint64_t>& aDropped)
 {
-  for (const auto& [view, changed] : aOutcome.All()) {
+  for (const auto& [view, change] : aChanges.All()) {
     const std::string name(view);
-    if (changed.item != nullptr) {
+    if (change.item != nullptr) {
       aDropped.erase(name);
-      aItems[name] = *changed.item;
+      aItems[name] = *change.item;
     } else {
       aItems.erase(name);
-      aDropped[name] = changed.version;
+      aDropped[name] = change.version;
     }
   }
 }
 
+/// @return host and path prefix, which decide the requests that a route
+/// matches.
 std::pair<std::string, std::string>
-PlaceOf(const wire::RouteItem& aRoute)
+MatchOf(const wire::RouteItem& aRoute)
 {
   return { aRoute.host(), aRoute.prefix() };
 }
@@ -193,16 +206,16 @@
 tl::unexpected<Error>
 UnknownService(const std::string& aRoute, const std::string& aService)
 {
-  return Invalid("Route '" + aRoute + "' names the unknown service '" +
+  return Invalid("Route '" + aRoute + "' references the unknown service '" +
                  aService + "'.");
 }
 
 } // namespace
 
-class ItemTable::Outcome
+class ItemTable::ChangeSet
 {
 public:
-  Outcome(const ItemTable& aItems, const wire::ChangeItems& aChange)
+  ChangeSet(const ItemTable& aItems, const wire::ChangeItems& aChange)
     : routes(aItems.mRoutes, aItems.mDroppedRoutes)
     , services(aItems.mServices, aItems.mDroppedServices)
   {
@@ -220,38 +233,38 @@
     }
   }
 
-  ItemsOutcome<wire::RouteItem> routes;
-  ItemsOutcome<wire::ServiceItem> services;
+  ItemChanges<wire::RouteItem> routes;
+  ItemChanges<wire::ServiceItem> services;
 };
 
-/// No two routes have the same place.
+/// Checks that no two routes have the same match.
 Result<void>
-ItemTable::CheckPlaces(const Outcome& aOutcome) const
+ItemTable::CheckRouteMatches(const ChangeSet& aChanges) const
 {
-  const auto& changed = aOutcome.routes.All();
+  const auto& changed = aChanges.routes.All();
   std::set<std::pair<std::string, std::string>> taken;
   for (const auto& [name, route] : changed) {
     if (route.item == nullptr) {
       continue;
     }
-    const auto place = PlaceOf(*route.item);
-    const auto holder = mPlaces.find(place);
-    const bool stays =
-      holder != mPlaces.end() && !changed.contains(holder->second);
-    if (stays || !taken.insert(place).second) {
+    const auto match = MatchOf(*route.item);
+    const auto current = mRouteByMatch.find(match);
+    const bool unchanged =
+      current != mRouteByMatch.end() && !changed.contains(current->second);
+    if (unchanged || !taken.insert(match).second) {
       return Invalid("Route '" + std::string(name) +
-                     "' has the place of another.");
+                     "' has the host and prefix of another route.");
     }
   }
   return {};
 }
 
-/// Each route's parts name services that stand.
+/// Checks that the parts of all routes reference existing services.
 Result<void>
-ItemTable::CheckServices(const Outcome& aOutcome) const
+ItemTable::CheckServiceReferences(const ChangeSet& aChanges) const
 {
   std::map<std::string, size_t> released;
-  for (const auto& [name, route] : aOutcome.routes.All()) {
+  for (const auto& [name, route] : aChanges.routes.All()) {
     const auto old = mRoutes.find(std::string(name));
     if (old != mRoutes.end()) {
       for (const wire::RoutePart& part : old->second.parts()) {
@@ -262,17 +275,17 @@
       continue;
     }
     for (const wire::RoutePart& part : route.item->parts()) {
-      if (!aOutcome.services.Stands(part.service())) {
+      if (!aChanges.services.ExistsAfter(part.service())) {
         return UnknownService(route.item->name(), part.service());
       }
     }
   }
-  for (const auto& [name, service] : aOutcome.services.All()) {
-    const auto uses = mUses.find(std::string(name));
-    if (service.item == nullptr && uses != mUses.end() &&
-        uses->second > released[uses->first]) {
-      return Invalid("The service '" + uses->first +
-                     "' can't be dropped: routes that stand name it.");
+  for (const auto& [name, service] : aChanges.services.All()) {
+    const auto references = mServiceReferences.find(std::string(name));
+    if (service.item == nullptr && references != mServiceReferences.end() &&
+        references->second > released[references->first]) {
+      return Invalid("The service '" + references->first +
+                     "' can't be dropped: routes still reference it.");
     }
   }
   return {};
@@ -281,9 +294,9 @@
 void
 ItemTable::Index(const wire::RouteItem& aRoute)
 {
-  mPlaces[PlaceOf(aRoute)] = aRoute.name();
+  mRouteByMatch[MatchOf(aRoute)] = aRoute.name();
   for (const wire::RoutePart& part : aRoute.parts()) {
-    ++mUses[part.service()];
+    ++mServiceReferences[part.service()];
   }
 }
 
@@ -294,11 +307,11 @@
   if (route == mRoutes.end()) {
     return;
   }
-  mPlaces.erase(PlaceOf(route->second));
+  mRouteByMatch.erase(MatchOf(route->second));
   for (const wire::RoutePart& part : route->second.parts()) {
-    const auto uses = mUses.find(part.service());
-    if (--uses->second == 0) {
-      mUses.erase(uses);
+    const auto references = mServiceReferences.find(part.service());
+    if (--references->second == 0) {
+      mServiceReferences.erase(references);
     }
   }
 }
@@ -306,17 +319,17 @@
 Result<void>
 ItemTable::Check(const wire::ChangeItems& aChange) const
 {
-  return Check(aChange, Outcome(*this, aChange));
+  return Check(aChange, ChangeSet(*this, aChange));
 }
 
 Result<void>
 ItemTable::Check(const wire::ChangeItems& aChange,
-                 const Outcome& aOutcome) const
+                 const ChangeSet& aChanges) const
 {
   for (const wire::RouteItem& route : aChange.routes()) {
-    const bool repeated = IsInForce(mRoutes, route);
-    if (Result<void> alone = CheckAlone(route); !alone && !repeated) {
-      return alone;
+    const bool isCurrent = IsCurrent(mRoutes, route);
+    if (Result<void> valid = CheckRoute(route); !valid && !isCurrent) {
+      return valid;
     }
     if (Result<void> version = CheckVersion(mRoutes, mDroppedRoutes, route);
         !version) {
@@ -334,7 +347,7 @@
       aChange.limits().version() == mLimits.version() &&
       aChange.limits().source() != mLimits.source()) {
     return Fail(Code::RevisionConflict,
-                "The limits have this version with other contents.");
+                "The limits already have this version with other contents.");
   }
   for (const wire::DroppedItem& drop : aChange.dropped_routes()) {
     if (Result<void> dropped = CheckDrop(mRoutes, drop); !dropped) {
@@ -346,40 +359,40 @@
       return dropped;
     }
   }
-  if (Result<void> places = CheckPlaces(aOutcome); !places) {
-    return places;
+  if (Result<void> matches = CheckRouteMatches(aChanges); !matches) {
+    return matches;
   }
-  return CheckServices(aOutcome);
+  return CheckServiceReferences(aChanges);
 }
 
 void
 ItemTable::Apply(const wire::ChangeItems& aChange)
 {
-  Apply(aChange, Outcome(*this, aChange));
+  Apply(aChange, ChangeSet(*this, aChange));
 }
 
 Result<void>
-ItemTable::Submit(const wire::ChangeItems& aChange)
+ItemTable::CheckAndApply(const wire::ChangeItems& aChange)
 {
-  const Outcome outcome(*this, aChange);
-  if (Result<void> allowed = Check(aChange, outcome); !allowed) {
+  const ChangeSet changes(*this, aChange);
+  if (Result<void> allowed = Check(aChange, changes); !allowed) {
     return allowed;
   }
-  Apply(aChange, outcome);
+  Apply(aChange, changes);
   return {};
 }
 
 void
-ItemTable::Apply(const wire::ChangeItems& aChange, const Outcome& aOutcome)
+ItemTable::Apply(const wire::ChangeItems& aChange, const ChangeSet& aChanges)
 {
-  // All that change leave the indices before any comes into them: one may take
-  // the place of another.
-  for (const auto& [name, route] : aOutcome.routes.All()) {
+  // Remove all changed routes from the indexes before adding any, because one
+  // route may take over the match of another.
+  for (const auto& [name, route] : aChanges.routes.All()) {
     Unindex(std::string(name));
   }
-  Follow(aOutcome.services, mServices, mDroppedServices);
-  Follow(aOutcome.routes, mRoutes, mDroppedRoutes);
-  for (const auto& [name, route] : aOutcome.routes.All()) {
+  ApplyChanges(aChanges.services, mServices, mDroppedServices);
+  ApplyChanges(aChanges.routes, mRoutes, mDroppedRoutes);
+  for (const auto& [name, route] : aChanges.routes.All()) {
     if (route.item != nullptr) {
       Index(*route.item);
     }
--- a/src/librattandyke/gateway/items_test.cpp
+++ b/src/librattandyke/gateway/item_table_test.cpp
@@ -1,4 +1,4 @@
-#include "gateway/items.h"
+#include "gateway/item_table.h"
 
 #include <algorithm>
 #include <set>
@@ -60,9 +60,9 @@
   return change;
 }
 
-/// @return whether the change was taken.
+/// @return whether the change was applied.
 bool
-Submit(ItemTable& aItems, const wire::ChangeItems& aChange)
+CheckAndApply(ItemTable& aItems, const wire::ChangeItems& aChange)
 {
   if (!aItems.Check(aChange)) {
     return false;
@@ -71,6 +71,7 @@
   return true;
 }
 
+/// @return the result code of Check.
 Code
 CodeOf(const ItemTable& aItems, const wire::ChangeItems& aChange)
 {
@@ -78,85 +79,85 @@
   return allowed ? Code::Ok : allowed.error().code;
 }
 
-TEST(ItemTable, SameChangeAgainIsAcceptedAndChangesNothing)
+TEST(ItemTable, RepeatedChangeIsAcceptedWithoutEffect)
 {
   ItemTable items;
-  ASSERT_TRUE(Submit(items, Change({ MakeRoute("hire", 7) })));
-  EXPECT_TRUE(Submit(items, Change({ MakeRoute("hire", 7) })));
+  ASSERT_TRUE(CheckAndApply(items, Change({ MakeRoute("hire", 7) })));
+  EXPECT_TRUE(CheckAndApply(items, Change({ MakeRoute("hire", 7) })));
   EXPECT_EQ(items.Routes().at("hire").version(), 7U);
 }
 
-// An operator resends a change whose answer was lost. Meanwhile another has
-// sent a newer one. The resent one must not be refused, since it was accepted
-// once, and must not bring the older item back.
-TEST(ItemTable, OvertakenChangeIsAcceptedAndChangesNothing)
+// Failure: an operator repeats a change whose answer was lost, after another
+// operator has submitted a newer version. The repeated change is refused
+// although it was accepted before, or it restores the older item.
+TEST(ItemTable, SupersededChangeIsAcceptedWithoutEffect)
 {
   ItemTable items;
-  ASSERT_TRUE(Submit(items, Change({ MakeRoute("hire", 7) })));
-  ASSERT_TRUE(Submit(items, Change({ MakeRoute("hire", 9, "b") })));
-  EXPECT_TRUE(Submit(items, Change({ MakeRoute("hire", 7) })));
+  ASSERT_TRUE(CheckAndApply(items, Change({ MakeRoute("hire", 7) })));
+  ASSERT_TRUE(CheckAndApply(items, Change({ MakeRoute("hire", 9, "b") })));
+  EXPECT_TRUE(CheckAndApply(items, Change({ MakeRoute("hire", 7) })));
   EXPECT_EQ(items.Routes().at("hire").source(), "b9");
 }
 
-// Two operators send different contents under one version, to two hosts. One
-// is accepted; the other must be told, or it would believe its own in force.
+// Failure: two operators submit different contents under the same version, and
+// both changes are accepted, although only one of them takes effect.
 TEST(ItemTable, SameVersionWithOtherContentsIsRefused)
 {
   ItemTable items;
-  ASSERT_TRUE(Submit(items, Change({ MakeRoute("hire", 7, "a") })));
+  ASSERT_TRUE(CheckAndApply(items, Change({ MakeRoute("hire", 7, "a") })));
   EXPECT_EQ(CodeOf(items, Change({ MakeRoute("hire", 7, "b") })),
             Code::RevisionConflict);
   EXPECT_EQ(items.Routes().at("hire").source(), "a7");
 }
 
-// A change that was held up arrives after its item was dropped. The dropped
-// item must not come back.
-TEST(ItemTable, DroppedItemDoesNotComeBack)
+// Failure: a delayed change arrives after its item was dropped at a higher
+// version, and restores the item.
+TEST(ItemTable, DelayedChangeDoesNotRestoreDroppedItem)
 {
   ItemTable items;
-  ASSERT_TRUE(Submit(items, Change({ MakeRoute("hire", 7) })));
-  ASSERT_TRUE(Submit(items, DropRoute("hire", 9)));
-  EXPECT_TRUE(Submit(items, Change({ MakeRoute("hire", 8) })));
+  ASSERT_TRUE(CheckAndApply(items, Change({ MakeRoute("hire", 7) })));
+  ASSERT_TRUE(CheckAndApply(items, DropRoute("hire", 9)));
+  EXPECT_TRUE(CheckAndApply(items, Change({ MakeRoute("hire", 8) })));
   EXPECT_FALSE(items.Routes().contains("hire"));
-  EXPECT_TRUE(Submit(items, Change({ MakeRoute("hire", 10) })));
+  EXPECT_TRUE(CheckAndApply(items, Change({ MakeRoute("hire", 10) })));
   EXPECT_TRUE(items.Routes().contains("hire"));
 }
 
-TEST(ItemTable, DropOfANameThatNeverWasKeepsLaterOlderItemsOut)
+TEST(ItemTable, DropOfUnknownNameBlocksOlderVersions)
 {
   ItemTable items;
-  ASSERT_TRUE(Submit(items, DropRoute("hire", 5)));
-  EXPECT_TRUE(Submit(items, Change({ MakeRoute("hire", 4) })));
+  ASSERT_TRUE(CheckAndApply(items, DropRoute("hire", 5)));
+  EXPECT_TRUE(CheckAndApply(items, Change({ MakeRoute("hire", 4) })));
   EXPECT_FALSE(items.Routes().contains("hire"));
 }
 
-TEST(ItemTable, InvalidItemRefusesTheWholeCall)
+TEST(ItemTable, InvalidItemRefusesTheWholeChange)
 {
-  const auto invalid = [](auto aSpoil) {
+  const auto expectInvalid = [](auto aInvalidate) {
     wire::RouteItem bad = MakeRoute("bad", 2);
-    aSpoil(bad);
+    aInvalidate(bad);
     ItemTable items;
     EXPECT_EQ(CodeOf(items, Change({ MakeRoute("good", 2), bad })),
               Code::InvalidRecord);
   };
-  invalid([](wire::RouteItem& aRoute) { aRoute.set_max_attempts(0); });
-  invalid([](wire::RouteItem& aRoute) { aRoute.clear_host(); });
-  invalid([](wire::RouteItem& aRoute) { aRoute.set_prefix("/bad"); });
-  invalid([](wire::RouteItem& aRoute) { aRoute.set_timeout_ms(0); });
-  invalid(
+  expectInvalid([](wire::RouteItem& aRoute) { aRoute.set_max_attempts(0); });
+  expectInvalid([](wire::RouteItem& aRoute) { aRoute.clear_host(); });
+  expectInvalid([](wire::RouteItem& aRoute) { aRoute.set_prefix("/bad"); });
+  expectInvalid([](wire::RouteItem& aRoute) { aRoute.set_timeout_ms(0); });
+  expectInvalid(
     [](wire::RouteItem& aRoute) { aRoute.mutable_parts(0)->set_weight(-1); });
-  invalid(
+  expectInvalid(
     [](wire::RouteItem& aRoute) { aRoute.mutable_parts(0)->set_weight(0); });
-  invalid([](wire::RouteItem& aRoute) {
+  expectInvalid([](wire::RouteItem& aRoute) {
     aRoute.mutable_parts(0)->set_service("nobody");
   });
-  invalid([](wire::RouteItem& aRoute) { aRoute.set_prefix("/good/"); });
+  expectInvalid([](wire::RouteItem& aRoute) { aRoute.set_prefix("/good/"); });
 }
 
-TEST(ItemTable, ServiceInUseCannotBeDropped)
+TEST(ItemTable, ReferencedServiceCannotBeDropped)
 {
   ItemTable items;
-  ASSERT_TRUE(Submit(items, Change({ MakeRoute("hire", 2) })));
+  ASSERT_TRUE(CheckAndApply(items, Change({ MakeRoute("hire", 2) })));
   wire::ChangeItems change;
   wire::DroppedItem* drop = change.add_dropped_services();
   drop->set_name("board");
@@ -164,24 +165,24 @@
   EXPECT_EQ(CodeOf(items, change), Code::InvalidRecord);
 }
 
-TEST(ItemTable, SavedItemsAreLoadedWithTheirDrops)
+TEST(ItemTable, SaveAndLoadKeepItemsAndDrops)
 {
   ItemTable items;
-  ASSERT_TRUE(
-    Submit(items, Change({ MakeRoute("hire", 2), MakeRoute("log", 3) })));
-  ASSERT_TRUE(Submit(items, DropRoute("log", 4)));
+  ASSERT_TRUE(CheckAndApply(
+    items, Change({ MakeRoute("hire", 2), MakeRoute("log", 3) })));
+  ASSERT_TRUE(CheckAndApply(items, DropRoute("log", 4)));
   wire::GatewayState saved;
   items.Save(saved);
   ItemTable loaded;
   loaded.Load(saved);
   EXPECT_TRUE(loaded.Routes().contains("hire"));
-  EXPECT_TRUE(Submit(loaded, Change({ MakeRoute("log", 3) })));
+  EXPECT_TRUE(CheckAndApply(loaded, Change({ MakeRoute("log", 3) })));
   EXPECT_FALSE(loaded.Routes().contains("log"));
 }
 
-// Hosts may hear of changes in any order and more than once. Whatever the
-// order, the newest version of each item must be what stands.
-RC_GTEST_PROP(ItemTable, NewestVersionStandsInAnyOrder, ())
+// Failure: changes arrive out of order or more than once, and hosts end up with
+// different versions of an item. The highest version must win in any order.
+RC_GTEST_PROP(ItemTable, HighestVersionWinsInAnyOrder, ())
 {
   const auto versions =
     *rc::gen::nonEmpty(rc::gen::container<std::vector<uint64_t>>(
@@ -189,28 +190,30 @@
   const auto drops = *rc::gen::container<std::vector<bool>>(
     versions.size(), rc::gen::arbitrary<bool>());
   ItemTable items;
-  std::map<uint64_t, bool> taken;
+  std::map<uint64_t, bool> dropByVersion;
   for (size_t i = 0; i < versions.size(); ++i) {
-    // A version stands for one content only.
-    const bool drop = taken.try_emplace(versions[i], drops[i]).first->second;
-    RC_ASSERT(Submit(items,
-                     drop ? DropRoute("hire", versions[i])
-                          : Change({ MakeRoute("hire", versions[i]) })));
+    // Equal versions have equal contents.
+    const bool drop =
+      dropByVersion.try_emplace(versions[i], drops[i]).first->second;
+    RC_ASSERT(CheckAndApply(items,
+                            drop ? DropRoute("hire", versions[i])
+                                 : Change({ MakeRoute("hire", versions[i]) })));
   }
-  const auto& [newest, dropped] = *taken.rbegin();
+  const auto& [newest, dropped] = *dropByVersion.rbegin();
   RC_ASSERT(items.Routes().contains("hire") == !dropped);
   if (!dropped) {
     RC_ASSERT(items.Routes().at("hire").version() == newest);
   }
 }
 
-/// A change by few names, so that they meet in all ways.
+/// Generates a change from a few names and versions, so that collisions are
+/// frequent.
 rc::Gen<wire::ChangeItems>
 AnyChange()
 {
   return rc::gen::exec([] {
-    const auto name = [](const char* aKind, int aNames) {
-      return aKind + std::to_string(*rc::gen::inRange(0, aNames));
+    const auto name = [](const char* aPrefix, int aCount) {
+      return aPrefix + std::to_string(*rc::gen::inRange(0, aCount));
     };
     const auto version = [] { return *rc::gen::inRange<uint64_t>(1, 9); };
     wire::ChangeItems change;
@@ -239,24 +242,25 @@
   });
 }
 
-/// Looks at all items.
+/// @return whether all routes have different matches and reference existing
+/// services. Checks all items, without the indexes of ItemTable.
 bool
-AgreeAmongThemselves(const ItemTable& aItems)
+IsConsistent(const ItemTable& aItems)
 {
-  std::set<std::pair<std::string, std::string>> places;
+  std::set<std::pair<std::string, std::string>> matches;
   return std::all_of(
     aItems.Routes().begin(), aItems.Routes().end(), [&](const auto& aRoute) {
       const auto& [name, route] = aRoute;
-      return places.emplace(route.host(), route.prefix()).second &&
+      return matches.emplace(route.host(), route.prefix()).second &&
              aItems.Services().contains(route.parts(0).service());
     });
 }
 
-// A change is checked against what it names, not against all items. Whatever
-// came before, and after a restart from a saved state, it must be taken exactly
-// if all items would agree among themselves afterwards: else a route without a
-// service comes into force, or a proper change is refused.
-RC_GTEST_PROP(ItemTable, ChangeIsTakenExactlyIfAllItemsAgreeAfterwards, ())
+// Failure: the indexes by which a change is checked go out of step with the
+// items, after earlier changes or after loading a saved state. Then a route
+// without a service is accepted, or a valid change is refused. A change must be
+// accepted if and only if all items are consistent after it.
+RC_GTEST_PROP(ItemTable, ChangeIsAcceptedIffTheResultIsConsistent, ())
 {
   ItemTable items;
   for (int i = *rc::gen::inRange(1, 25); i > 0; --i) {
@@ -265,10 +269,10 @@
     changed.Apply(change);
     const Result<void> allowed = items.Check(change);
     if (allowed) {
-      RC_ASSERT(AgreeAmongThemselves(changed));
+      RC_ASSERT(IsConsistent(changed));
       items.Apply(change);
     } else if (allowed.error().code == Code::InvalidRecord) {
-      RC_ASSERT(!AgreeAmongThemselves(changed));
+      RC_ASSERT(!IsConsistent(changed));
     }
     if (*rc::gen::inRange(0, 5) == 0) {
       wire::GatewayState saved;
@@ -278,16 +282,15 @@
   }
 }
 
-// An operator names one route twice, at two places and with two versions. Of
-// each name the highest version counts: the route is at its newer place only,
-// and the older one is free.
-TEST(ItemTable, RouteOfAHigherVersionLeavesItsOldPlace)
+// Failure: a newer version of a route changes its prefix, and the old prefix
+// stays taken, or the new one stays free.
+TEST(ItemTable, NewVersionOfARouteReleasesItsOldMatch)
 {
   ItemTable items;
-  ASSERT_TRUE(items.Submit(Change({ MakeRoute("r", 18) })));
+  ASSERT_TRUE(items.CheckAndApply(Change({ MakeRoute("r", 18) })));
   wire::RouteItem moved = MakeRoute("r", 32);
   moved.set_prefix("/elsewhere/");
-  ASSERT_TRUE(items.Submit(Change({ moved })));
+  ASSERT_TRUE(items.CheckAndApply(Change({ moved })));
   ASSERT_EQ(items.Routes().size(), 1U);
   EXPECT_EQ(items.Routes().at("r").prefix(), "/elsewhere/");
   EXPECT_EQ(items.Routes().at("r").version(), 32U);
@@ -298,21 +301,21 @@
   EXPECT_FALSE(items.Check(Change({ other })));
 }
 
-// A change carries a route twice: an older version at the place of a route that
-// stays, a newer one elsewhere. What results is valid. The place of the route
-// that stays must still count as taken afterwards, or the next change puts two
-// routes there and each host picks its own.
-TEST(ItemTable, PlaceOfARouteThatStaysIsKeptThroughARepeatedName)
+// Failure: a change contains a route twice, the older version with the match of
+// another, unchanged route. Only the newer version takes effect, so the change
+// is valid. The match of the unchanged route is then no longer indexed, and a
+// later change gives it to a second route.
+TEST(ItemTable, UnchangedRouteKeepsItsMatchWhenAChangeRepeatsAName)
 {
   ItemTable items;
-  ASSERT_TRUE(Submit(items, Change({ MakeRoute("stays", 1) })));
+  ASSERT_TRUE(CheckAndApply(items, Change({ MakeRoute("stays", 1) })));
   wire::RouteItem older = MakeRoute("moves", 2);
   older.set_prefix("/stays/");
   const wire::RouteItem newer = MakeRoute("moves", 3);
-  ASSERT_TRUE(Submit(items, Change({ older, newer })));
-  wire::RouteItem twin = MakeRoute("twin", 4);
-  twin.set_prefix("/stays/");
-  EXPECT_EQ(CodeOf(items, Change({ twin })), Code::InvalidRecord);
+  ASSERT_TRUE(CheckAndApply(items, Change({ older, newer })));
+  wire::RouteItem duplicate = MakeRoute("duplicate", 4);
+  duplicate.set_prefix("/stays/");
+  EXPECT_EQ(CodeOf(items, Change({ duplicate })), Code::InvalidRecord);
 }
 
 } // namespace
--- a/src/librattandyke/gateway/route_table.cpp
+++ b/src/librattandyke/gateway/route_table.cpp
@@ -26,16 +26,17 @@
   return route;
 }
 
-/// Between host and prefix; no request's host has it.
+/// Separates host and prefix in a key; cannot occur in the host of a request.
 constexpr char kSeparator = '\n';
 
+/// @return the key of a host and prefix in RouteTable::mByMatch.
 std::string
-PlaceOf(std::string_view aHost, std::string_view aPrefix)
+MatchKey(std::string_view aHost, std::string_view aPrefix)
 {
-  std::string place(aHost);
-  place += kSeparator;
-  place += aPrefix;
-  return place;
+  std::string key(aHost);
+  key += kSeparator;
+  key += aPrefix;
+  return key;
 }
 
 } // namespace
@@ -44,8 +45,8 @@
 RouteTable::Update(const ItemTable& aItems)
 {
   const auto known = std::exchange(mByName, {});
-  mByPlace.clear();
-  mLongestPrefix = 0;
+  mByMatch.clear();
+  mMaxPrefixLength = 0;
   for (const auto& [name, item] : aItems.Routes()) {
     const auto old = known.find(name);
     const bool same =
@@ -58,26 +59,27 @@
 RouteTable::Update(const ItemTable& aItems, const wire::ChangeItems& aChange)
 {
   std::vector<const wire::RouteItem*> changed;
-  const auto take = [&](const std::string& aName) {
+  const auto update = [&](const std::string& aName) {
     const auto item = aItems.Routes().find(aName);
     const auto known = mByName.find(aName);
-    const bool stands = item != aItems.Routes().end();
-    const bool same = stands && known != mByName.end() &&
+    const bool exists = item != aItems.Routes().end();
+    const bool same = exists && known != mByName.end() &&
                       known->second->version == item->second.version();
     if (!same) {
       Remove(aName);
     }
-    if (stands && !same) {
+    if (exists && !same) {
       changed.push_back(&item->second);
     }
   };
   for (const wire::DroppedItem& drop : aChange.dropped_routes()) {
-    take(drop.name());
+    update(drop.name());
   }
   for (const wire::RouteItem& route : aChange.routes()) {
-    take(route.name());
+    update(route.name());
   }
-  // Only now: one may have taken the place of another.
+  // Add routes only after all changed ones are removed, because one route may
+  // take over the match of another.
   for (const wire::RouteItem* item : changed) {
     Add(MakeRoute(*item));
   }
@@ -90,28 +92,28 @@
   if (known == mByName.end()) {
     return;
   }
-  mByPlace.erase(PlaceOf(known->second->host, known->second->pathPrefix));
+  mByMatch.erase(MatchKey(known->second->host, known->second->pathPrefix));
   mByName.erase(known);
 }
 
 void
 RouteTable::Add(std::shared_ptr<Route> aRoute)
 {
-  mLongestPrefix = std::max(mLongestPrefix, aRoute->pathPrefix.size());
+  mMaxPrefixLength = std::max(mMaxPrefixLength, aRoute->pathPrefix.size());
   mByName[aRoute->name] = aRoute;
-  mByPlace[PlaceOf(aRoute->host, aRoute->pathPrefix)] = std::move(aRoute);
+  mByMatch[MatchKey(aRoute->host, aRoute->pathPrefix)] = std::move(aRoute);
 }
 
 std::shared_ptr<Route>
 RouteTable::Find(std::string_view aHost, std::string_view aPath) const
 {
-  const std::string place = PlaceOf(aHost, aPath.substr(0, mLongestPrefix));
-  for (size_t end = place.size(); end > aHost.size(); --end) {
-    if (place[end - 1] != '/') {
+  const std::string key = MatchKey(aHost, aPath.substr(0, mMaxPrefixLength));
+  for (size_t end = key.size(); end > aHost.size(); --end) {
+    if (key[end - 1] != '/') {
       continue;
     }
-    const auto route = mByPlace.find(std::string_view(place).substr(0, end));
-    if (route != mByPlace.end()) {
+    const auto route = mByMatch.find(std::string_view(key).substr(0, end));
+    if (route != mByMatch.end()) {
       return route->second;
     }
   }
@@ -122,16 +124,17 @@
 NextService(Route& aRoute)
 {
   double sum = 0;
-  Route::Part* best = nullptr;
+  Route::Part* selected = nullptr;
   for (Route::Part& part : aRoute.parts) {
     sum += part.weight;
-    part.credit += part.weight;
-    if (part.weight > 0 && (best == nullptr || part.credit > best->credit)) {
-      best = &part;
+    part.currentWeight += part.weight;
+    if (part.weight > 0 &&
+        (selected == nullptr || part.currentWeight > selected->currentWeight)) {
+      selected = &part;
     }
   }
-  best->credit -= sum;
-  return best->service;
+  selected->currentWeight -= sum;
+  return selected->service;
 }
 
 } // namespace rattandyke::gateway
--- a/src/librattandyke/gateway/route_table_test.cpp
+++ b/src/librattandyke/gateway/route_table_test.cpp
@@ -24,6 +24,7 @@
   return item;
 }
 
+/// @return a table of routes whose services are not defined.
 ItemTable
 Items(const std::vector<wire::RouteItem>& aRoutes)
 {
@@ -36,7 +37,7 @@
   return items;
 }
 
-TEST(RouteTable, LongestPrefixOfTheHostIsTaken)
+TEST(RouteTable, LongestMatchingPrefixOfTheHostWins)
 {
   RouteTable table;
   table.Update(
@@ -47,7 +48,7 @@
   EXPECT_EQ(table.Find("other.example", "/a/"), nullptr);
 }
 
-TEST(RouteTable, DroppedRouteIsFoundNoMore)
+TEST(RouteTable, DroppedRouteIsNotFound)
 {
   RouteTable table;
   table.Update(Items({ Item("a", "/a/") }));
@@ -56,9 +57,9 @@
   EXPECT_NE(table.Find("h.example", "/b/x"), nullptr);
 }
 
-// Requests must be divided by weight in any run of them, not on average only,
-// and other routes' changes must not make a route begin anew.
-TEST(RouteTable, PartsGetTheirWeightsShareOfEveryRun)
+// Failure: requests are divided by weight only in the long-term average, or the
+// change of another route resets the round-robin of this route.
+TEST(RouteTable, EveryRunOfRequestsIsDividedByWeight)
 {
   wire::RouteItem split = Item("s", "/s/");
   split.mutable_parts(0)->set_weight(90);
@@ -75,7 +76,7 @@
   }
 }
 
-TEST(RouteTable, PartOfWeightZeroGetsNothing)
+TEST(RouteTable, PartOfWeightZeroGetsNoRequests)
 {
   wire::RouteItem split = Item("s", "/s/");
   wire::RoutePart* second = split.add_parts();
@@ -88,8 +89,9 @@
   }
 }
 
-// A path of slashes only, as long as a header may be, is no dearer than others.
-TEST(RouteTable, LongPathIsLookedForOnlyAsFarAsPrefixesReach)
+// Failure: a path of 16,000 slashes costs one lookup per slash. Find must not
+// look up prefixes that are longer than those of all routes.
+TEST(RouteTable, LongPathIsCutToTheLongestPrefix)
 {
   RouteTable table;
   table.Update(Items({ Item("a", "/a/") }));
@@ -107,10 +109,10 @@
   EXPECT_EQ(table.Find("", ""), nullptr);
 }
 
-// Routes move to one another's places in one change, come and go. After each
-// change the table that takes what the change names must find the same routes
-// as one that takes all items anew.
-RC_GTEST_PROP(RouteTable, ChangesLeadToTheSameTableAsAllItems, ())
+// Failure: routes of one change take over each other's matches, and the update
+// by changes loses a route. After each change, the updated table must find the
+// same routes as a table built from all items.
+RC_GTEST_PROP(RouteTable, UpdateByChangesEqualsFullUpdate, ())
 {
   ItemTable items;
   RouteTable table;
@@ -136,12 +138,12 @@
       items.Apply(change);
     }
     table.Update(items, change);
-    RouteTable whole;
-    whole.Update(items);
+    RouteTable full;
+    full.Update(items);
     for (char prefix = 'p'; prefix < 's'; ++prefix) {
       const std::string path = "/" + std::string(1, prefix) + "/x";
       const auto found = table.Find("h.example", path);
-      const auto expected = whole.Find("h.example", path);
+      const auto expected = full.Find("h.example", path);
       const bool same = found && expected && found->name == expected->name &&
                         found->version == expected->version;
       const bool neither = !found && !expected;
--- a/src/librattandyke/gateway/settings.cpp
+++ b/src/librattandyke/gateway/settings.cpp
@@ -14,21 +14,23 @@
 namespace {
 
 constexpr uint16_t kNoPort = 0;
-constexpr uint64_t kMostTolerated = 4;
+constexpr uint64_t kMaxTolerated = 4;
 
-/// One key of the file: what it takes, and how it is stored.
-struct Row
+/// Specification of one key of the settings file.
+struct SettingSpec
 {
   std::string_view section;
   std::string_view key;
   std::string_view defaultValue;
   std::string_view allowed;
   std::string_view meaning;
+  /// Parses a value and stores it; returns whether the value is valid.
   std::function<bool(Settings&, const std::string&)> assign;
 };
 
+/// Parses a duration with its unit, ms or s.
 bool
-ParseTime(const std::string& aText, Millis& aTime)
+ParseDuration(const std::string& aText, Millis& aDuration)
 {
   double number = 0;
   const char* const last = aText.data() + aText.size();
@@ -39,11 +41,11 @@
     return false;
   }
   const double factor = unit == "s" ? 1000 : 1;
-  aTime = Millis{ static_cast<int64_t>(number * factor) };
+  aDuration = Millis{ static_cast<int64_t>(number * factor) };
   return true;
 }
 
-/// @return whether it is a number from 0.
+/// @return whether the text is a number of at least 0.
 bool
 ParseNumber(const std::string& aText, double& aNumber)
 {
@@ -52,7 +54,7 @@
   return error == std::errc{} && end == last && aNumber >= 0;
 }
 
-/// @return whether it is a whole number from 0.
+/// @return whether the text is a whole number of at least 0.
 bool
 ParseCount(const std::string& aText, uint64_t& aCount)
 {
@@ -62,12 +64,13 @@
 }
 
 bool
-ParseFlag(const std::string& aText, bool& aFlag)
+ParseBool(const std::string& aText, bool& aValue)
 {
-  aFlag = aText == "true";
+  aValue = aText == "true";
   return aText == "true" || aText == "false";
 }
 
+/// An empty text is valid and means no endpoint.
 bool
 ParseOptionalEndpoint(const std::string& aText,
                       std::optional<Endpoint>& aEndpoint)
@@ -83,16 +86,17 @@
   return endpoint.has_value();
 }
 
-/// Seeds are known by the address for calls; peers reach them at the port that
-/// this host's peers use, too, as all hosts of a deployment have the same.
+/// Parses comma-separated endpoints and drops their ports. Operators name a
+/// seed by its endpoint for calls; this host connects to its peer port, which
+/// is the same on all hosts and filled in by ParseSettings.
 bool
 ParseSeeds(const std::string& aText, std::vector<Endpoint>& aSeeds)
 {
   aSeeds.clear();
-  std::istringstream words(aText);
-  std::string word;
-  while (std::getline(words, word, ',')) {
-    const std::string trimmed(config::Trimmed(word));
+  std::istringstream parts(aText);
+  std::string part;
+  while (std::getline(parts, part, ',')) {
+    const std::string trimmed(config::Trimmed(part));
     if (trimmed.empty()) {
       continue;
     }
@@ -105,15 +109,15 @@
   return true;
 }
 
-/// Names with commas between them.
+/// Parses comma-separated names; any text is valid.
 bool
 ParseDataCentres(const std::string& aText, std::vector<DataCentre>& aNames)
 {
   aNames.clear();
-  std::istringstream words(aText);
-  std::string word;
-  while (std::getline(words, word, ',')) {
-    const std::string trimmed(config::Trimmed(word));
+  std::istringstream parts(aText);
+  std::string part;
+  while (std::getline(parts, part, ',')) {
+    const std::string trimmed(config::Trimmed(part));
     if (!trimmed.empty()) {
       aNames.push_back(DataCentre{ trimmed });
     }
@@ -121,10 +125,10 @@
   return true;
 }
 
-/// Nothing stands for what a deployment does not tell.
+/// Accepts an empty text, which keeps the default, or calls aParse.
 template<typename Parse>
 bool
-OrDefault(const std::string& aText, Parse aParse)
+EmptyOr(const std::string& aText, Parse aParse)
 {
   return aText.empty() || aParse();
 }
@@ -137,28 +141,31 @@
   return aSettings.entry || aSettings.control;
 }
 
+/// @return the SettingSpec::assign of a duration.
 template<typename Field>
 auto
-Time(Field aField)
+AssignDuration(Field aField)
 {
   return [aField](Settings& aSettings, const std::string& aText) {
-    return ParseTime(aText, aSettings.*aField);
+    return ParseDuration(aText, aSettings.*aField);
   };
 }
 
+/// @return the SettingSpec::assign of an optional endpoint.
 template<typename Field>
 auto
-Optional(Field aField)
+AssignOptionalEndpoint(Field aField)
 {
   return [aField](Settings& aSettings, const std::string& aText) {
     return ParseOptionalEndpoint(aText, aSettings.*aField);
   };
 }
 
-const std::vector<Row>&
-Rows()
+/// @return all keys, grouped by section in the order of the settings page.
+const std::vector<SettingSpec>&
+SettingSpecs()
 {
-  static const std::vector<Row> sRows{
+  static const std::vector<SettingSpec> sSpecs{
     { "host",
       "name",
       "host-1",
@@ -172,7 +179,7 @@
       "data_centre",
       "local",
       "a name",
-      "Data centre that the host stands in.",
+      "Data centre of this host.",
       [](Settings& aSettings, const std::string& aText) {
         aSettings.dataCentre.value = aText;
         return !aText.empty();
@@ -180,9 +187,10 @@
     { "host",
       "data_centres",
       "",
-      "names with commas between them, or nothing",
-      "All data centres of the deployment; an order about another one is "
-      "refused. Nothing: any name is taken.",
+      "comma-separated names, or empty",
+      "All data centres of the deployment. Evacuations of other data centres "
+      "are "
+      "refused. Empty: any name is accepted.",
       [](Settings& aSettings, const std::string& aText) {
         return ParseDataCentres(aText, aSettings.dataCentres);
       } },
@@ -190,16 +198,16 @@
       "role",
       "entry",
       "entry or control",
-      "An entry takes callers' requests; a control host has a disk, votes in "
-      "the replicated log and answers upstreams and operators.",
+      "An entry host serves callers. A control host stores the replicated log, "
+      "votes in it and serves upstreams and operators.",
       [](Settings& aSettings, const std::string& aText) {
         return ParseRole(aText, aSettings);
       } },
     { "host",
       "data_folder",
       "",
-      "a path, empty for an entry",
-      "Folder of the replicated log.",
+      "a path, or empty for an entry host",
+      "Folder of the replicated log; required for a control host.",
       [](Settings& aSettings, const std::string& aText) {
         aSettings.dataFolder = aText;
         return true;
@@ -209,15 +217,15 @@
       "false",
       "true or false",
       "Whether the whole deployment starts for the first time, with empty "
-      "disks. Only then a group of control hosts is founded.",
+      "disks. Only then do the control hosts form a new group.",
       [](Settings& aSettings, const std::string& aText) {
-        return ParseFlag(aText, aSettings.firstStart);
+        return ParseBool(aText, aSettings.firstStart);
       } },
     { "host",
       "dialect",
       "platform",
-      "the name of a dialect",
-      "How upstreams and operators word their calls.",
+      "name of a dialect",
+      "Message format of the calls from upstreams and operators.",
       [](Settings& aSettings, const std::string& aText) {
         aSettings.dialect = aText;
         return !aText.empty();
@@ -225,28 +233,31 @@
     { "host",
       "link_mbits",
       "0",
-      "a number from 0, or nothing for the default",
-      "Bandwidth of the host's link in Mbit/s. While it is busy, answers wait "
-      "for it in the order in which they are due. 0: not told, nothing waits.",
+      "a number of at least 0, or empty for the default",
+      "Bandwidth of the host's network link in Mbit/s. While the link is busy, "
+      "answers are queued and sent in the order in which they are due, and "
+      "requests are refused if the link can't carry their answers in time. 0: "
+      "unknown; answers are not queued, and no request is refused for the "
+      "link.",
       [](Settings& aSettings, const std::string& aText) {
-        return OrDefault(
-          aText, [&] { return ParseNumber(aText, aSettings.linkMbits); });
+        return EmptyOr(aText,
+                       [&] { return ParseNumber(aText, aSettings.linkMbits); });
       } },
     { "host",
       "descriptors",
       "4096",
-      "a whole number from 0, or nothing for the default",
-      "Descriptors that the process may have. Four fifths of them are for "
-      "connections of upstreams and operators.",
+      "a whole number of at least 0, or empty for the default",
+      "Maximum number of file descriptors of the process. Four fifths of them "
+      "are for connections of upstreams and operators.",
       [](Settings& aSettings, const std::string& aText) {
-        return OrDefault(
+        return EmptyOr(
           aText, [&] { return ParseCount(aText, aSettings.descriptors); });
       } },
     { "host",
       "log_level",
       "info",
       "debug, info, warning or error",
-      "Least severity of lines on standard output.",
+      "Minimum severity of log lines on standard output.",
       [](Settings& aSettings, const std::string& aText) {
         aSettings.logLevel = aText;
         return std::set<std::string>{ "debug", "info", "warning", "error" }
@@ -255,32 +266,33 @@
     { "listen",
       "callers",
       "",
-      "an address IP:PORT or nothing",
-      "Where callers' requests arrive; an entry needs it.",
-      Optional(&Settings::callers) },
+      "an address IP:PORT, or empty",
+      "Address for requests of callers; required for an entry host.",
+      AssignOptionalEndpoint(&Settings::callers) },
     { "listen",
       "readiness",
       "",
-      "an address IP:PORT or nothing",
-      "Where a balancer asks whether the host is ready.",
-      Optional(&Settings::readiness) },
+      "an address IP:PORT, or empty",
+      "Address for readiness checks of a load balancer.",
+      AssignOptionalEndpoint(&Settings::readiness) },
     { "listen",
       "calls",
       "",
-      "an address IP:PORT or nothing",
-      "Where upstreams and operators call; a control host needs it.",
-      Optional(&Settings::calls) },
+      "an address IP:PORT, or empty",
+      "Address for calls of upstreams and operators; required for a control "
+      "host.",
+      AssignOptionalEndpoint(&Settings::calls) },
     { "listen",
       "metrics",
       "",
-      "an address IP:PORT or nothing",
-      "Where counters and histograms of times are served, at any path.",
-      Optional(&Settings::metrics) },
+      "an address IP:PORT, or empty",
+      "Address for scrapes of counters and latency histograms, at any path.",
+      AssignOptionalEndpoint(&Settings::metrics) },
     { "listen",
       "peers",
       "127.0.0.1:7003",
       "an address IP:PORT",
-      "Where other hosts reach this one. All hosts use the same port. "
+      "Address for connections from other hosts. All hosts use the same port. "
       "Connections between hosts are neither encrypted nor authenticated.",
       [](Settings& aSettings, const std::string& aText) {
         const Result<Endpoint> endpoint = ParseEndpoint(aText);
@@ -290,15 +302,17 @@
     { "listen",
       "advertised",
       "",
-      "an address IP:PORT or nothing",
-      "Where other hosts reach this one, if not at `peers`.",
-      Optional(&Settings::advertised) },
+      "an address IP:PORT, or empty",
+      "Address at which other hosts reach this host, if it differs from "
+      "`peers`.",
+      AssignOptionalEndpoint(&Settings::advertised) },
     { "control",
       "seeds",
       "",
-      "addresses with commas between them",
-      "Control hosts that are asked for the others. On the first start they "
-      "found the group, so all hosts must be given the same then.",
+      "comma-separated addresses IP:PORT",
+      "Control hosts from which this host learns about the others. On the "
+      "first "
+      "start they form the group, so all hosts must have the same list then.",
       [](Settings& aSettings, const std::string& aText) {
         return ParseSeeds(aText, aSettings.seeds);
       } },
@@ -306,41 +320,43 @@
       "tolerated",
       "2",
       "a number from 0 to 4",
-      "Control hosts that may be lost at the same time; twice as many and one "
-      "vote.",
+      "Number of control hosts that may fail at the same time. The group has "
+      "twice as many voters, plus one.",
       [](Settings& aSettings, const std::string& aText) {
         const char* const last = aText.data() + aText.size();
         const auto [end, error] =
           std::from_chars(aText.data(), last, aSettings.tolerated);
         return error == std::errc{} && end == last &&
-               aSettings.tolerated <= kMostTolerated;
+               aSettings.tolerated <= kMaxTolerated;
       } },
     { "leases",
       "heartbeat_interval",
       "1s",
-      "a time in ms or s",
-      "How often upstreams send heartbeats.",
-      Time(&Settings::heartbeatInterval) },
+      "a duration in ms or s",
+      "Interval between heartbeats of an upstream.",
+      AssignDuration(&Settings::heartbeatInterval) },
     { "leases",
       "longest_hold",
       "10s",
-      "a time in ms or s",
-      "Longest hold of keys that upstreams accept.",
-      Time(&Settings::longestHold) },
+      "a duration in ms or s",
+      "Longest lease on keys that upstreams accept.",
+      AssignDuration(&Settings::longestHold) },
     { "leases",
       "hold",
       "0s",
-      "a time in ms or s",
-      "For how long an answered heartbeat renews an upstream's keys. Longer "
-      "outlasts longer outages of the control hosts; shorter gives the keys of "
-      "a crashed upstream to another sooner. 0s: 4.5 s, or two and a half "
-      "heartbeat intervals if that is longer, but no longer than longest_hold.",
-      Time(&Settings::hold) },
+      "a duration in ms or s",
+      "Lease duration: the time for which an answered heartbeat renews an "
+      "upstream's keys. A longer lease survives longer outages of the control "
+      "hosts; a shorter one frees the keys of a crashed upstream sooner. 0s: "
+      "4.5 "
+      "s, or two and a half heartbeat intervals if that is longer, but at most "
+      "longest_hold.",
+      AssignDuration(&Settings::hold) },
     { "requests",
       "retry_ratio",
       "0.2",
       "a number from 0 to 1",
-      "Second tries for each request that all hosts together may make.",
+      "Retries per request that all hosts together may send.",
       [](Settings& aSettings, const std::string& aText) {
         return ParseNumber(aText, aSettings.retryRatio) &&
                aSettings.retryRatio <= 1;
@@ -348,93 +364,97 @@
     { "requests",
       "retry_slack",
       "10",
-      "a number from 0",
-      "Second tries beyond these that all hosts together may make at a time.",
+      "a number of at least 0",
+      "Burst of retries beyond retry_ratio that all hosts together may send.",
       [](Settings& aSettings, const std::string& aText) {
         return ParseNumber(aText, aSettings.retrySlack);
       } },
     { "requests",
       "drain_timeout",
       "2s",
-      "a time in ms or s",
-      "Time within which a leaving upstream must get no more requests.",
-      Time(&Settings::drainTimeout) },
+      "a duration in ms or s",
+      "Time within which a draining upstream must stop receiving requests.",
+      AssignDuration(&Settings::drainTimeout) },
     { "requests",
       "evacuation_timeout",
       "5s",
-      "a time in ms or s, or nothing for the default",
-      "Time within which nothing new may reach the upstreams of an evacuated "
-      "data centre.",
+      "a duration in ms or s, or empty for the default",
+      "Time within which the upstreams of an evacuated data centre must stop "
+      "receiving new requests.",
       [](Settings& aSettings, const std::string& aText) {
-        return OrDefault(
-          aText, [&] { return ParseTime(aText, aSettings.evacuationTimeout); });
+        return EmptyOr(aText, [&] {
+          return ParseDuration(aText, aSettings.evacuationTimeout);
+        });
       } },
     { "requests",
       "cold_factor",
       "1",
-      "a number from 0, or nothing for the default",
-      "Times its service's rate that a cold upstream may get in one second.",
+      "a number of at least 0, or empty for the default",
+      "Multiple of its service's warm-up rate that a cold upstream may receive "
+      "in one second.",
       [](Settings& aSettings, const std::string& aText) {
-        return OrDefault(
+        return EmptyOr(
           aText, [&] { return ParseNumber(aText, aSettings.coldFactor); });
       } },
     { "requests",
       "cold_slack",
       "0",
-      "a number from 0, or nothing for the default",
-      "Requests beyond these that a cold upstream may get in one second.",
+      "a number of at least 0, or empty for the default",
+      "Requests beyond cold_factor that a cold upstream may receive in one "
+      "second.",
       [](Settings& aSettings, const std::string& aText) {
-        return OrDefault(
-          aText, [&] { return ParseNumber(aText, aSettings.coldSlack); });
+        return EmptyOr(aText,
+                       [&] { return ParseNumber(aText, aSettings.coldSlack); });
       } },
     { "requests",
       "shutdown_grace",
       "6s",
-      "a time in ms or s",
-      "Time after SIGTERM at which the host is killed.",
-      Time(&Settings::shutdownGrace) },
+      "a duration in ms or s",
+      "Time from SIGTERM until the host is killed.",
+      AssignDuration(&Settings::shutdownGrace) },
   };
-  return sRows;
+  return sSpecs;
 }
 
-const Row*
-FindRow(const config::IniEntry& aEntry)
+const SettingSpec*
+FindSpec(const config::IniEntry& aEntry)
 {
-  for (const Row& row : Rows()) {
-    if (row.section == aEntry.section && row.key == aEntry.key) {
-      return &row;
+  for (const SettingSpec& spec : SettingSpecs()) {
+    if (spec.section == aEntry.section && spec.key == aEntry.key) {
+      return &spec;
     }
   }
   return nullptr;
 }
 
+/// @return the prefix of a message about a line of a file.
 std::string
-Where(const std::string& aFile, uint32_t aLine)
+LocationPrefix(const std::string& aFile, uint32_t aLine)
 {
   return aFile + ":" + std::to_string(aLine) + ": ";
 }
 
-/// What one key alone can't show.
-/// Safeguard: a hold that outlasts hardly more than one interval ends while a
-/// heartbeat that got no answer is sent again, and keys move though their
-/// holder is well.
+/// Sets the default lease duration. A lease little longer than the heartbeat
+/// interval would expire while an unanswered heartbeat is repeated, and the
+/// keys of a healthy upstream would move.
 void
-FillHoldIn(Settings& aSettings)
+SetDefaultHold(Settings& aSettings)
 {
-  constexpr Millis kLeastHold{ 4500 };
+  constexpr Millis kMinHold{ 4500 };
   if (aSettings.hold > Millis::zero()) {
     return;
   }
-  const Millis lasting = aSettings.heartbeatInterval * 5 / 2;
-  aSettings.hold =
-    std::min(std::max(kLeastHold, lasting), aSettings.longestHold);
+  const Millis hold = aSettings.heartbeatInterval * 5 / 2;
+  aSettings.hold = std::min(std::max(kMinHold, hold), aSettings.longestHold);
 }
 
+/// Checks the settings that depend on one another, and appends a line to
+/// aProblems for each violation.
 void
-CheckWhole(const Settings& aSettings, std::string& aProblems)
+CheckCombinations(const Settings& aSettings, std::string& aProblems)
 {
   if (aSettings.entry && !aSettings.callers) {
-    aProblems += "An entry needs [listen] callers.\n";
+    aProblems += "An entry host needs [listen] callers.\n";
   }
   if (aSettings.control && !aSettings.calls) {
     aProblems += "A control host needs [listen] calls.\n";
@@ -459,30 +479,32 @@
 ParseSettings(std::string_view aText, const std::string& aFile)
 {
   Settings settings;
-  for (const Row& row : Rows()) {
-    row.assign(settings, std::string(row.defaultValue));
+  for (const SettingSpec& spec : SettingSpecs()) {
+    spec.assign(settings, std::string(spec.defaultValue));
   }
   std::string problems;
   const config::IniFile file = config::ReadIni(aText);
   for (const config::Problem& problem : file.problems) {
-    problems += Where(aFile, problem.line) + "read '" + problem.read +
-                "', allowed is " + problem.allowed + ".\n";
+    problems += LocationPrefix(aFile, problem.line) + "read '" + problem.read +
+                "', allowed: " + problem.allowed + ".\n";
   }
   for (const config::IniEntry& entry : file.entries) {
-    const Row* row = FindRow(entry);
+    const SettingSpec* spec = FindSpec(entry);
     const std::string name = "[" + entry.section + "] " + entry.key;
-    if (row == nullptr) {
-      problems += Where(aFile, entry.line) + name + " is not a setting.\n";
-    } else if (!row->assign(settings, entry.value)) {
-      problems += Where(aFile, entry.line) + name + ": read '" + entry.value +
-                  "', allowed is " + std::string(row->allowed) + ".\n";
+    if (spec == nullptr) {
+      problems +=
+        LocationPrefix(aFile, entry.line) + name + " is not a setting.\n";
+    } else if (!spec->assign(settings, entry.value)) {
+      problems += LocationPrefix(aFile, entry.line) + name + ": read '" +
+                  entry.value + "', allowed: " + std::string(spec->allowed) +
+                  ".\n";
     }
   }
   for (Endpoint& seed : settings.seeds) {
-    seed.port = settings.Self().port;
+    seed.port = settings.AdvertisedAddress().port;
   }
-  FillHoldIn(settings);
-  CheckWhole(settings, problems);
+  SetDefaultHold(settings);
+  CheckCombinations(settings, problems);
   if (!problems.empty()) {
     problems.pop_back();
     return Fail(Code::InvalidSettings, problems);
@@ -507,20 +529,22 @@
 SettingsPage()
 {
   std::ostringstream page;
-  page << "# Settings of a gateway deployment\n\n"
-          "For `rattandyke gateway --settings FILE`; made from the table that "
-          "the program reads settings with.\n";
+  page
+    << "# Settings of a gateway deployment\n\n"
+       "Settings of `rattandyke gateway --settings FILE`. Generated from the "
+       "table with which the program parses its settings.\n";
   std::string_view section;
-  for (const Row& row : Rows()) {
-    if (row.section != section) {
-      section = row.section;
+  for (const SettingSpec& spec : SettingSpecs()) {
+    if (spec.section != section) {
+      section = spec.section;
       page << "\n## [" << section << "]\n\n"
            << "| key | default | allowed | meaning |\n"
               "| --- | --- | --- | --- |\n";
     }
-    page << "| `" << row.key << "` | " << (row.defaultValue.empty() ? "" : "`")
-         << row.defaultValue << (row.defaultValue.empty() ? "" : "`") << " | "
-         << row.allowed << " | " << row.meaning << " |\n";
+    page << "| `" << spec.key << "` | "
+         << (spec.defaultValue.empty() ? "" : "`") << spec.defaultValue
+         << (spec.defaultValue.empty() ? "" : "`") << " | " << spec.allowed
+         << " | " << spec.meaning << " |\n";
   }
   return page.str();
 }
--- a/src/librattandyke/gateway/settings.h
+++ b/src/librattandyke/gateway/settings.h
@@ -15,76 +15,102 @@
 
 using Millis = std::chrono::milliseconds;
 
+/// Parsed settings of one host. A field has the name of its key unless noted
+/// otherwise.
 struct Settings
 {
   // [host]
   HostName name;
   DataCentre dataCentre;
+  /// Key `role`: whether this is an entry host.
   bool entry = false;
+  /// Key `role`: whether this is a control host.
   bool control = false;
+  /// Folder of the replicated log.
   std::filesystem::path dataFolder;
-  /// The whole deployment starts for the first time, with empty disks.
+  /// Whether the whole deployment starts for the first time, with empty disks.
   bool firstStart = false;
-  /// All data centres of the deployment; empty: not told.
+  /// All data centres of the deployment; empty: unknown.
   std::vector<DataCentre> dataCentres;
+  /// Name of the dialect in DialectRegistry.
   std::string dialect;
   std::string logLevel;
-  /// Of the host's link; 0: not told.
+  /// Bandwidth of the host's network link in Mbit/s; 0: unknown.
   double linkMbits = 0;
-  /// That the process may have.
+  /// Maximum number of file descriptors of the process.
   uint64_t descriptors = 4096;
 
-  /// @return the calls' connections that a process may have; the rest of its
-  /// descriptors is for files and for other hosts.
-  size_t MostCalls() const { return descriptors * 4 / 5; }
+  /// @return the maximum number of connections of a call server. The remaining
+  /// descriptors are for files and for connections to other hosts.
+  size_t MaxCallConnections() const { return descriptors * 4 / 5; }
 
   // [listen]
+  /// For requests of callers.
   std::optional<Endpoint> callers;
+  /// For readiness checks of load balancers.
   std::optional<Endpoint> readiness;
+  /// For calls of upstreams and operators to a control host.
   std::optional<Endpoint> calls;
+  /// For scrapes of the metrics.
   std::optional<Endpoint> metrics;
+  /// For other hosts.
   Endpoint peers;
-  /// Where others reach this host, if not at the address it listens on.
+  /// Address at which other hosts reach this host, if it differs from `peers`.
   std::optional<Endpoint> advertised;
 
-  /// @return this host's address as others know it, which is its name among
-  /// them.
-  const Endpoint& Self() const { return advertised ? *advertised : peers; }
+  /// @return the address at which other hosts reach this host. It also
+  /// identifies the host among them.
+  const Endpoint& AdvertisedAddress() const
+  {
+    return advertised ? *advertised : peers;
+  }
 
   // [control]
-  /// Control hosts that may be asked for the others, as addresses for peers.
+  /// Peer addresses of control hosts, from which this host learns about the
+  /// others.
   std::vector<Endpoint> seeds;
-  /// Control hosts that may be lost at the same time.
+  /// Number of control hosts that may fail at the same time.
   uint64_t tolerated = 0;
 
   // [leases]
+  /// Interval between heartbeats of an upstream.
   Millis heartbeatInterval{};
-  /// Longest hold of keys that upstreams accept.
+  /// Longest lease on keys that upstreams accept.
   Millis longestHold{};
+  /// Duration of the leases on keys. ParseSettings replaces 0 by the default.
   Millis hold{};
 
   // [requests]
-  /// Second tries for each first one that all hosts together may send.
+  /// Retries per request that all hosts together may send.
   double retryRatio = 0;
-  /// Second tries beyond these that all hosts together may send at a time.
+  /// Burst of retries beyond the ratio that all hosts together may send.
   double retrySlack = 0;
+  /// Time within which a draining upstream must stop receiving requests.
   Millis drainTimeout{};
-  /// Time within which nothing new may reach an evacuated data centre.
+  /// Time within which the upstreams of an evacuated data centre must stop
+  /// receiving new requests.
   Millis evacuationTimeout{};
-  /// Requests that a cold upstream may get in one second: what its service
-  /// says times the factor, and the slack.
+  /// A cold upstream may receive its service's cold_rate times coldFactor, plus
+  /// coldSlack, requests per second.
   double coldFactor = 1;
   double coldSlack = 0;
+  /// Time from SIGTERM until the process is killed.
   Millis shutdownGrace{};
 };
 
+/// Parses the text of a settings file.
+/// @param aFile name of the file, for messages.
 /// @return the settings, or Code::InvalidSettings with a line for each problem.
 Result<Settings> ParseSettings(std::string_view aText,
                                const std::string& aFile);
 
+/// Reads and parses a settings file.
+/// @return the same as ParseSettings; Code::InvalidSettings also if the file
+/// can't be read.
 Result<Settings> LoadSettings(const std::filesystem::path& aFile);
 
-/// @return docs/GATEWAY-SETTINGS.md: every setting with default and meaning.
+/// @return the text of docs/GATEWAY-SETTINGS.md: every setting with its default
+/// and meaning.
 std::string SettingsPage();
 
 } // namespace rattandyke::gateway
--- a/src/librattandyke/gateway/settings_test.cpp
+++ b/src/librattandyke/gateway/settings_test.cpp
@@ -5,7 +5,7 @@
 namespace rattandyke::gateway {
 namespace {
 
-constexpr std::string_view kEntry = R"([host]
+constexpr std::string_view kEntryHost = R"([host]
 name = entry-1
 role = entry
 data_folder =
@@ -16,34 +16,35 @@
 seeds = 10.0.0.7:90,10.0.0.8:90
 )";
 
-TEST(GatewaySettings, ReadsAnEntryAndFillsDefaultsIn)
+TEST(GatewaySettings, ParsesEntryHostAndFillsInDefaults)
 {
-  const Result<Settings> settings = ParseSettings(kEntry, "file");
+  const Result<Settings> settings = ParseSettings(kEntryHost, "file");
   ASSERT_TRUE(settings) << settings.error().message;
   EXPECT_TRUE(settings->entry);
   EXPECT_FALSE(settings->control);
   EXPECT_EQ(settings->callers->port, 80);
   EXPECT_FALSE(settings->readiness);
   ASSERT_EQ(settings->seeds.size(), 2U);
-  // Seeds are named by the port for calls; hosts talk at the port for peers.
+  // The file has the ports for calls; hosts connect to the port for peers.
   EXPECT_EQ(settings->seeds[1], (Endpoint{ "10.0.0.8", 7000 }));
   EXPECT_EQ(settings->tolerated, 2U);
   EXPECT_FALSE(settings->firstStart);
 }
 
-TEST(GatewaySettings, AdvertisedAddressIsTheHostsName)
+TEST(GatewaySettings, AdvertisedAddressReplacesPeerAddress)
 {
-  std::string text(kEntry);
+  std::string text(kEntryHost);
   text.insert(text.find("peers ="), "advertised = 10.9.0.1:7100\n");
   const auto settings = ParseSettings(text, "file");
   ASSERT_TRUE(settings);
-  EXPECT_EQ(settings->Self(), (Endpoint{ "10.9.0.1", 7100 }));
+  EXPECT_EQ(settings->AdvertisedAddress(), (Endpoint{ "10.9.0.1", 7100 }));
   EXPECT_EQ(settings->seeds[0].port, 7100);
 }
 
-// An operator mistypes several keys. Each must be named with its line and what
-// is allowed, in one go.
-TEST(GatewaySettings, NamesEveryProblem)
+// Failure: a file with several mistakes reports only the first one, and an
+// operator needs one attempt per mistake. Each problem must have a message with
+// its line.
+TEST(GatewaySettings, ReportsAllProblemsAtOnce)
 {
   const auto settings =
     ParseSettings("[host]\nrole = boss\nrank = 1\n[leases]\nhold = 20s\n"
@@ -52,22 +53,23 @@
   ASSERT_FALSE(settings);
   EXPECT_EQ(settings.error().code, Code::InvalidSettings);
   const std::string& text = settings.error().message;
-  for (const char* part : { "file:2: [host] role: read 'boss'",
-                            "file:3: [host] rank is not a setting",
-                            "file:7: [listen] peers: read 'here'",
-                            "[control] seeds names no host",
-                            "hold is above longest_hold" }) {
-    EXPECT_NE(text.find(part), std::string::npos) << part << " in " << text;
+  for (const char* expected : { "file:2: [host] role: read 'boss'",
+                                "file:3: [host] rank is not a setting",
+                                "file:7: [listen] peers: read 'here'",
+                                "[control] seeds names no host",
+                                "hold is above longest_hold" }) {
+    EXPECT_NE(text.find(expected), std::string::npos)
+      << expected << " in " << text;
   }
 }
 
-// Guards against holds that one unanswered heartbeat outlasts where heartbeats
-// are far apart.
-TEST(GatewaySettings, HoldOutlastsALostHeartbeat)
+// Failure: with a long heartbeat interval, the default lease expires after a
+// single unanswered heartbeat, and the keys of a healthy upstream move.
+TEST(GatewaySettings, DefaultLeaseOutlastsALostHeartbeat)
 {
   const auto holdWith = [](const std::string& aLeases) {
     const auto settings =
-      ParseSettings(std::string(kEntry) + "[leases]\n" + aLeases, "file");
+      ParseSettings(std::string(kEntryHost) + "[leases]\n" + aLeases, "file");
     EXPECT_TRUE(settings);
     return settings ? settings->hold : Millis{};
   };
@@ -77,7 +79,7 @@
   EXPECT_EQ(holdWith("heartbeat_interval = 3s\nhold = 5s\n"), Millis{ 5000 });
 }
 
-TEST(GatewaySettings, RolesNeedTheirAddresses)
+TEST(GatewaySettings, EachRoleRequiresItsAddresses)
 {
   EXPECT_FALSE(ParseSettings("[control]\nseeds = 10.0.0.1:1\n", "file"));
   EXPECT_FALSE(ParseSettings(
--- a/src/librattandyke/gateway/state.cpp
+++ b/src/librattandyke/gateway/state.cpp
@@ -6,45 +6,45 @@
 
 namespace {
 
-/// More than end within any time for which a heartbeat may be held up: at 940
-/// restarts a day this covers several days, in about 100 KB.
-constexpr size_t kEndedKept = 4096;
+/// Ended instances to remember. At 940 restarts a day they cover several days,
+/// longer than any delay of a heartbeat, in about 100 KB.
+constexpr size_t kMaxEndedInstances = 4096;
 
 } // namespace
 
 Result<void>
 State::Apply(const wire::GatewayCommand& aCommand, LogIndex aIndex)
 {
-  mApplied = aIndex;
+  mAppliedIndex = aIndex;
   switch (aCommand.body_case()) {
     case wire::GatewayCommand::kChangeItems:
-      return On(aCommand.change_items());
+      return Apply(aCommand.change_items());
     case wire::GatewayCommand::kPutInstance:
-      return On(aCommand.put_instance());
+      return Apply(aCommand.put_instance());
     case wire::GatewayCommand::kEndInstance:
-      return On(aCommand.end_instance());
+      return Apply(aCommand.end_instance());
     case wire::GatewayCommand::kWithdrawInstance:
-      return On(aCommand.withdraw_instance());
+      return Apply(aCommand.withdraw_instance());
     case wire::GatewayCommand::kGrantRanges:
-      return On(aCommand.grant_ranges());
+      return Apply(aCommand.grant_ranges());
     case wire::GatewayCommand::kFreeRanges:
-      return On(aCommand.free_ranges());
+      return Apply(aCommand.free_ranges());
     case wire::GatewayCommand::kHoldBackRanges:
-      return On(aCommand.hold_back_ranges());
+      return Apply(aCommand.hold_back_ranges());
     case wire::GatewayCommand::kPutEntry:
-      return On(aCommand.put_entry());
+      return Apply(aCommand.put_entry());
     case wire::GatewayCommand::kDropEntry:
-      return On(aCommand.drop_entry());
+      return Apply(aCommand.drop_entry());
     case wire::GatewayCommand::kEvacuateDataCentre:
-      return On(aCommand.evacuate_data_centre());
+      return Apply(aCommand.evacuate_data_centre());
     case wire::GatewayCommand::kPutControl:
-      return On(aCommand.put_control());
+      return Apply(aCommand.put_control());
     case wire::GatewayCommand::kDropControl:
-      return On(aCommand.drop_control());
+      return Apply(aCommand.drop_control());
     case wire::GatewayCommand::BODY_NOT_SET:
       break;
   }
-  return Fail(Code::InvalidRecord, "A command has no body.");
+  return Fail(Code::InvalidRecord, "The command has no body.");
 }
 
 const wire::UpstreamInstance*
@@ -62,46 +62,49 @@
 }
 
 Result<void>
-State::On(const wire::ChangeItems& aCommand)
+State::Apply(const wire::ChangeItems& aCommand)
 {
-  // Checked again here: another change may have been committed since the leader
+  // Check again: another change may have been committed since the leader
   // checked this one.
-  return mItems.Submit(aCommand);
+  return mItems.CheckAndApply(aCommand);
 }
 
 bool
-State::HasEnded(const std::string& aId, uint64_t aLife) const
+State::HasEnded(const std::string& aId, uint64_t aIncarnation) const
 {
   const wire::UpstreamInstance* known = FindInstance(aId);
   if (known != nullptr) {
-    return aLife < known->life();
+    return aIncarnation < known->life();
   }
-  const auto ended = mEnded.find(aId);
-  return ended != mEnded.end() && aLife <= ended->second;
+  const auto ended = mEndedIncarnations.find(aId);
+  return ended != mEndedIncarnations.end() && aIncarnation <= ended->second;
 }
 
-/// Safeguard: a process that starts again under its id holds nothing of what
-/// its earlier life held. Were the keys still taken as its own, it would be
-/// sent requests that it refuses, and be given keys under fences that it has
-/// let go of. One process runs at a time under an id, so the later life proves
-/// that the earlier one is over: its keys are free in the same command that
-/// registers the later one, on every host.
+/// Registers or updates an instance. A new incarnation frees all keys of the
+/// earlier one in the same command on every host, because a restarted process
+/// no longer holds them. It would otherwise get requests that it refuses, and
+/// grants under fences that it has released. Only one process runs under an id
+/// at a time, so a later incarnation proves that the earlier one has ended.
 Result<void>
-State::On(const wire::PutInstance& aCommand)
+State::Apply(const wire::PutInstance& aCommand)
 {
   const wire::UpstreamInstance& instance = aCommand.instance();
   if (HasEnded(instance.id(), instance.life())) {
-    return Fail(Code::UpstreamSuperseded, "The instance has ended.");
+    return Fail(Code::UpstreamSuperseded,
+                "This incarnation of the instance has ended.");
   }
   const wire::UpstreamInstance* known = FindInstance(instance.id());
-  const bool sameLife = known != nullptr && known->life() == instance.life();
-  // What leaves does not come back within one life: a heartbeat that says
-  // otherwise was held up.
-  const bool returns = sameLife && known->withdrawn() && aCommand.returns();
-  const bool withdrawn = sameLife && known->withdrawn() && !returns;
+  const bool sameIncarnation =
+    known != nullptr && known->life() == instance.life();
+  // A draining instance stays draining for the rest of its incarnation: a
+  // heartbeat that reports it as ready was delayed. The exception is a
+  // withdrawn instance that returns.
+  const bool returns =
+    sameIncarnation && known->withdrawn() && aCommand.returns();
+  const bool withdrawn = sameIncarnation && known->withdrawn() && !returns;
   const bool draining =
-    instance.draining() || (sameLife && known->draining() && !returns);
-  if (!sameLife) {
+    instance.draining() || (sameIncarnation && known->draining() && !returns);
+  if (!sameIncarnation) {
     for (auto& [service, ranges] : mRanges) {
       ranges.FreeAllOf(instance.id());
     }
@@ -110,32 +113,33 @@
   put = instance;
   put.set_draining(draining);
   put.set_withdrawn(withdrawn);
-  put.set_cold_index(mApplied.value);
+  put.set_cold_index(mAppliedIndex.value);
   ++mInstancesVersion;
   return {};
 }
 
 Result<void>
-State::On(const wire::EndInstance& aCommand)
+State::Apply(const wire::EndInstance& aCommand)
 {
   const wire::UpstreamInstance* known = FindInstance(aCommand.id());
   if (known != nullptr && known->life() > aCommand.life()) {
-    return Fail(Code::UpstreamSuperseded, "A later life is registered.");
+    return Fail(Code::UpstreamSuperseded,
+                "A later incarnation of the instance is registered.");
   }
   mInstances.erase(aCommand.id());
   ++mInstancesVersion;
   if (!aCommand.forgotten()) {
-    NoteEnded(aCommand.id(), aCommand.life());
+    RecordEnded(aCommand.id(), aCommand.life());
   }
   return {};
 }
 
 Result<void>
-State::On(const wire::WithdrawInstance& aCommand)
+State::Apply(const wire::WithdrawInstance& aCommand)
 {
   const auto known = mInstances.find(aCommand.id());
   if (known == mInstances.end() || known->second.draining()) {
-    return {}; // It is gone, or leaves by its own word.
+    return {}; // The instance has ended, or is draining already.
   }
   known->second.set_draining(true);
   known->second.set_withdrawn(true);
@@ -144,96 +148,97 @@
 }
 
 void
-State::NoteEnded(const std::string& aId, uint64_t aLife)
+State::RecordEnded(const std::string& aId, uint64_t aIncarnation)
 {
-  const auto [at, added] = mEnded.try_emplace(aId, aLife);
-  at->second = std::max(at->second, aLife);
+  const auto [at, added] = mEndedIncarnations.try_emplace(aId, aIncarnation);
+  at->second = std::max(at->second, aIncarnation);
   if (!added) {
     return;
   }
   mEndedOrder.push_back(aId);
-  if (mEndedOrder.size() > kEndedKept) {
-    mEnded.erase(mEndedOrder.front());
+  if (mEndedOrder.size() > kMaxEndedInstances) {
+    mEndedIncarnations.erase(mEndedOrder.front());
     mEndedOrder.pop_front();
   }
 }
 
 Result<void>
-State::On(const wire::GrantRanges& aCommand)
+State::Apply(const wire::GrantRanges& aCommand)
 {
-  const wire::UpstreamInstance* holder = FindInstance(aCommand.holder());
-  if (holder == nullptr || holder->life() != aCommand.life()) {
-    return Fail(Code::UnknownUpstream, "The holder is not registered.");
+  const wire::UpstreamInstance* owner = FindInstance(aCommand.holder());
+  if (owner == nullptr || owner->life() != aCommand.life()) {
+    return Fail(Code::UnknownUpstream,
+                "This incarnation of the owner is not registered.");
   }
-  return mRanges[aCommand.service()].Grant(aCommand, mApplied.value);
+  return mRanges[aCommand.service()].Grant(aCommand, mAppliedIndex.value);
 }
 
 Result<void>
-State::On(const wire::FreeRanges& aCommand)
+State::Apply(const wire::FreeRanges& aCommand)
 {
   mRanges[aCommand.service()].Free(aCommand);
   return {};
 }
 
 Result<void>
-State::On(const wire::HoldBackRanges& aCommand)
+State::Apply(const wire::HoldBackRanges& aCommand)
 {
   mRanges[aCommand.service()].HoldBack(aCommand);
   return {};
 }
 
 Result<void>
-State::On(const wire::PutEntry& aCommand)
+State::Apply(const wire::PutEntry& aCommand)
 {
   mEntries[aCommand.entry().address()] = aCommand.entry();
   return {};
 }
 
 Result<void>
-State::On(const wire::DropEntry& aCommand)
+State::Apply(const wire::DropEntry& aCommand)
 {
   mEntries.erase(aCommand.address());
   return {};
 }
 
 Result<void>
-State::On(const wire::PutControl& aCommand)
+State::Apply(const wire::PutControl& aCommand)
 {
   mControls[aCommand.control().address()] = aCommand.control();
   return {};
 }
 
 Result<void>
-State::On(const wire::DropControl& aCommand)
+State::Apply(const wire::DropControl& aCommand)
 {
   mControls.erase(aCommand.address());
   return {};
 }
 
 Result<void>
-State::On(const wire::EvacuateDataCentre& aCommand)
+State::Apply(const wire::EvacuateDataCentre& aCommand)
 {
   if (!aCommand.ends()) {
-    mEvacuated.insert(aCommand.data_centre());
-  } else if (mEvacuated.erase(aCommand.data_centre()) > 0) {
-    AssumeCold(aCommand.data_centre());
+    mEvacuatedDataCentres.insert(aCommand.data_centre());
+  } else if (mEvacuatedDataCentres.erase(aCommand.data_centre()) > 0) {
+    MarkCold(aCommand.data_centre());
   }
   return {};
 }
 
-/// Safeguard: upstreams may have become cold while nothing was sent to them,
-/// and tell so only with their next heartbeats. At the usual rate, until then,
-/// they would crash. Taken as cold from the order on, they get no more than
-/// they bear until their service's time is over.
+/// Marks the upstreams of a data centre as cold when its evacuation ends, for
+/// the cold time of their service. They may have become cold while they
+/// received no requests, and report it only in their next heartbeat; until then
+/// requests at the usual rate would crash them.
 void
-State::AssumeCold(const std::string& aDataCentre)
+State::MarkCold(const std::string& aDataCentre)
 {
   for (auto& [id, instance] : mInstances) {
     const auto service = mItems.Services().find(instance.service());
     if (instance.data_centre() == aDataCentre &&
         service != mItems.Services().end()) {
       instance.set_cold_ms(service->second.cold_ms());
-      instance.set_cold_index(mApplied.value);
+      instance.set_cold_index(mAppliedIndex.value);
     }
   }
   ++mInstancesVersion;
@@ -243,7 +248,7 @@
 State::Save() const
 {
   wire::GatewayState state;
-  state.set_applied(mApplied.value);
+  state.set_applied(mAppliedIndex.value);
   mItems.Save(state);
   for (const auto& [id, instance] : mInstances) {
     *state.add_instances() = instance;
@@ -251,7 +256,7 @@
   for (const std::string& id : mEndedOrder) {
     wire::EndedInstance* ended = state.add_ended();
     ended->set_id(id);
-    ended->set_life(mEnded.at(id));
+    ended->set_life(mEndedIncarnations.at(id));
   }
   for (const auto& [service, ranges] : mRanges) {
     wire::ServiceRanges* saved = state.add_ranges();
@@ -261,7 +266,7 @@
   for (const auto& [address, entry] : mEntries) {
     *state.add_entries() = entry;
   }
-  for (const std::string& dataCentre : mEvacuated) {
+  for (const std::string& dataCentre : mEvacuatedDataCentres) {
     state.add_evacuated(dataCentre);
   }
   for (const auto& [address, control] : mControls) {
@@ -276,13 +281,13 @@
   const uint64_t version = mInstancesVersion;
   *this = State();
   mInstancesVersion = version + 1;
-  mApplied = LogIndex{ aState.applied() };
+  mAppliedIndex = LogIndex{ aState.applied() };
   mItems.Load(aState);
   for (const wire::UpstreamInstance& instance : aState.instances()) {
     mInstances[instance.id()] = instance;
   }
   for (const wire::EndedInstance& ended : aState.ended()) {
-    NoteEnded(ended.id(), ended.life());
+    RecordEnded(ended.id(), ended.life());
   }
   for (const wire::ServiceRanges& ranges : aState.ranges()) {
     mRanges[ranges.service()].Load(ranges);
@@ -290,7 +295,8 @@
   for (const wire::EntryMember& entry : aState.entries()) {
     mEntries[entry.address()] = entry;
   }
-  mEvacuated.insert(aState.evacuated().begin(), aState.evacuated().end());
+  mEvacuatedDataCentres.insert(aState.evacuated().begin(),
+                               aState.evacuated().end());
   for (const wire::ControlMember& control : aState.controls()) {
     mControls[control.address()] = control;
   }
--- a/src/librattandyke/gateway/state.h
+++ b/src/librattandyke/gateway/state.h
@@ -1,4 +1,4 @@
-/// The replicated state of a gateway deployment.
+/// Replicated state machine of a gateway deployment.
 #pragma once
 
 #include <deque>
@@ -10,65 +10,74 @@
 #include <rattandyke/result.h>
 #include <rattandyke/types.h>
 
-#include "gateway/items.h"
+#include "gateway/item_table.h"
 #include "gateway/range_table.h"
 #include "wire/gateway.pb.h"
 
 namespace rattandyke::gateway {
 
-/// Items, upstream instances and owners of keys. Control hosts apply committed
-/// commands in the order of the log; entry hosts apply the same commands as
-/// they are told of them, so all hosts go through the same states. Not
-/// thread-safe.
+/// Replicated state machine: configuration items, upstream instances, key
+/// ranges with their owners, member hosts and evacuated data centres. Control
+/// hosts apply the committed commands in the order of the log. Entry hosts
+/// apply the same commands when control hosts send them, so all hosts pass
+/// through the same states. Not thread-safe.
 class State
 {
 public:
-  /// @return what became of the command: applied, or refused and without
-  /// effect. The same on every host.
+  /// Applies a command, or refuses it without effect. The result is the same on
+  /// every host.
+  /// @param aIndex of the command in the replicated log.
+  /// @return the reason of a refusal.
   Result<void> Apply(const wire::GatewayCommand& aCommand, LogIndex aIndex);
 
-  /// @return the index of the newest command applied.
-  LogIndex Applied() const { return mApplied; }
+  /// @return the log index of the last applied command.
+  LogIndex Applied() const { return mAppliedIndex; }
 
   const ItemTable& Items() const { return mItems; }
 
+  /// @return the registered upstream instances, by id.
   const std::map<std::string, wire::UpstreamInstance>& Instances() const
   {
     return mInstances;
   }
 
-  /// @return the instance, or nullptr.
+  /// @return the registered instance, or nullptr.
   const wire::UpstreamInstance* FindInstance(const std::string& aId) const;
 
-  /// @return a number that is another one after each change of the instances.
+  /// @return a number that increases with each change to the instances.
   uint64_t InstancesVersion() const { return mInstancesVersion; }
 
-  /// @return whether a life of an instance has ended: it deregistered, or a
-  /// later one was registered or has ended, too.
-  bool HasEnded(const std::string& aId, uint64_t aLife) const;
+  /// @return whether an incarnation of an instance has ended: an EndInstance
+  /// command ended it or a later one, or a later one is registered.
+  bool HasEnded(const std::string& aId, uint64_t aIncarnation) const;
 
-  /// @return whether operators want nothing sent to the upstreams of a data
-  /// centre.
+  /// @return whether a data centre is evacuated: operators have ordered that
+  /// its upstreams receive no requests.
   bool IsEvacuated(const std::string& aDataCentre) const
   {
-    return mEvacuated.contains(aDataCentre);
+    return mEvacuatedDataCentres.contains(aDataCentre);
   }
 
-  const std::set<std::string>& Evacuated() const { return mEvacuated; }
+  const std::set<std::string>& EvacuatedDataCentres() const
+  {
+    return mEvacuatedDataCentres;
+  }
 
-  /// @return the owners of a service's keys, or nullptr before the first grant.
+  /// @return the key ranges of a service with their owners, or nullptr if no
+  /// command has referred to them yet.
   const RangeTable* Ranges(const std::string& aService) const;
 
+  /// @return the key ranges of all services with their owners, by service.
   const std::map<std::string, RangeTable>& AllRanges() const { return mRanges; }
 
-  /// @return the entry hosts that serve callers, by address.
+  /// @return the entry hosts that serve callers, by peer address.
   const std::map<std::string, wire::EntryMember>& Entries() const
   {
     return mEntries;
   }
 
-  /// @return the control hosts that have told where they are, by address.
-  const std::map<std::string, wire::ControlMember>& Controls() const
+  /// @return the control hosts whose data centre is known, by peer address.
+  const std::map<std::string, wire::ControlMember>& ControlHosts() const
   {
     return mControls;
   }
@@ -77,34 +86,34 @@
   void Load(const wire::GatewayState& aState);
 
 private:
-  Result<void> On(const wire::ChangeItems& aCommand);
-  Result<void> On(const wire::PutInstance& aCommand);
-  Result<void> On(const wire::EndInstance& aCommand);
-  Result<void> On(const wire::WithdrawInstance& aCommand);
-  Result<void> On(const wire::GrantRanges& aCommand);
-  Result<void> On(const wire::FreeRanges& aCommand);
-  Result<void> On(const wire::HoldBackRanges& aCommand);
-  Result<void> On(const wire::PutEntry& aCommand);
-  Result<void> On(const wire::DropEntry& aCommand);
-  Result<void> On(const wire::EvacuateDataCentre& aCommand);
-  Result<void> On(const wire::PutControl& aCommand);
-  Result<void> On(const wire::DropControl& aCommand);
-  void AssumeCold(const std::string& aDataCentre);
-  void NoteEnded(const std::string& aId, uint64_t aLife);
-
-  LogIndex mApplied;
+  Result<void> Apply(const wire::ChangeItems& aCommand);
+  Result<void> Apply(const wire::PutInstance& aCommand);
+  Result<void> Apply(const wire::EndInstance& aCommand);
+  Result<void> Apply(const wire::WithdrawInstance& aCommand);
+  Result<void> Apply(const wire::GrantRanges& aCommand);
+  Result<void> Apply(const wire::FreeRanges& aCommand);
+  Result<void> Apply(const wire::HoldBackRanges& aCommand);
+  Result<void> Apply(const wire::PutEntry& aCommand);
+  Result<void> Apply(const wire::DropEntry& aCommand);
+  Result<void> Apply(const wire::EvacuateDataCentre& aCommand);
+  Result<void> Apply(const wire::PutControl& aCommand);
+  Result<void> Apply(const wire::DropControl& aCommand);
+  void MarkCold(const std::string& aDataCentre);
+  void RecordEnded(const std::string& aId, uint64_t aIncarnation);
+
+  LogIndex mAppliedIndex;
   ItemTable mItems;
   std::map<std::string, wire::UpstreamInstance> mInstances;
   uint64_t mInstancesVersion = 0;
-  /// Instances that ended, oldest first; bounded. A heartbeat that was held up
-  /// in the network must not bring an ended instance back.
+  /// Ids of ended instances, oldest first, at most kMaxEndedInstances. They
+  /// prevent a delayed heartbeat from registering an ended instance again.
   std::deque<std::string> mEndedOrder;
-  /// The newest life of each that has ended.
-  std::map<std::string, uint64_t> mEnded;
+  /// Latest ended incarnation of each ended instance, by id.
+  std::map<std::string, uint64_t> mEndedIncarnations;
   std::map<std::string, RangeTable> mRanges;
   std::map<std::string, wire::EntryMember> mEntries;
   std::map<std::string, wire::ControlMember> mControls;
-  std::set<std::string> mEvacuated;
+  std::set<std::string> mEvacuatedDataCentres;
 };
 
 } // namespace rattandyke::gateway
