--- a/src/librattandyke/gateway/dialect.h
+++ b/src/librattandyke/gateway/dialect.h
@@ -10,7 +10,7 @@
 #include <rattandyke/result.h>
 
 #include "gateway/heartbeat.h"
-#include "gateway/told_load.h"
+#include "gateway/load_report.h"
 #include "wire/gateway.pb.h"
 
 namespace rattandyke::gateway {
@@ -83,7 +83,8 @@
 
   /// Decodes the value of the HeaderNames::load header.
   /// @return the load report, or std::nullopt if the value is malformed.
-  virtual std::optional<ToldLoad> DecodeLoad(std::string_view aText) const = 0;
+  virtual std::optional<LoadReport> DecodeLoad(
+    std::string_view aText) const = 0;
 
   /// @return whether method and target are those of a heartbeat. The body is
   /// not checked.
--- a/src/librattandyke/gateway/entry_host.cpp
+++ b/src/librattandyke/gateway/entry_host.cpp
@@ -129,11 +129,11 @@
         << "a message between hosts can't be read; the connection ends";
       aConnection->Close();
     } else if (frame.has_slot_ask()) {
-      desk.OnAsk(frame.slot_ask());
+      desk.OnSlotRequest(frame.slot_ask());
     } else if (frame.has_slot_answer()) {
-      desk.OnAnswer(frame.slot_answer());
+      desk.OnSlotAnswer(frame.slot_answer());
     } else if (frame.has_slot_done()) {
-      desk.OnDone(frame.slot_done());
+      desk.OnSlotRelease(frame.slot_done());
     } else if (frame.has_feed_open()) {
       OnRelayOpen(aConnection, frame.feed_open());
     } else if (frame.has_feed_report()) {
@@ -330,7 +330,7 @@
   std::unique_ptr<net::FrameMesh> mesh;
   FeedClient feed;
   FeedServer relay;
-  SlotDesk desk;
+  SlotCoordinator desk;
   RequestHandler handler;
   CallerFront callers;
   asio::steady_timer slotTicker;
--- a/src/librattandyke/gateway/entry_host_test.cpp
+++ b/src/librattandyke/gateway/entry_host_test.cpp
@@ -29,7 +29,7 @@
   {
     return Fail(Code::UnknownRecord, "no calls here");
   }
-  std::optional<ToldLoad> DecodeLoad(std::string_view) const override
+  std::optional<LoadReport> DecodeLoad(std::string_view) const override
   {
     return std::nullopt;
   }
--- a/src/librattandyke/gateway/granter.h
+++ b/src/librattandyke/gateway/granter.h
@@ -15,7 +15,7 @@
 #include "gateway/dialect.h"
 #include "gateway/heartbeat.h"
 #include "gateway/holder_index.h"
-#include "gateway/load_map.h"
+#include "gateway/key_load_map.h"
 #include "gateway/state.h"
 #include "wire/gateway.pb.h"
 
@@ -164,7 +164,7 @@
   /// What is known of a service.
   struct Group
   {
-    LoadMap load;
+    KeyLoadMap load;
     HolderIndex index;
     std::optional<Instant> firstInstance;
     std::optional<Instant> freeSince;
--- a/src/librattandyke/gateway/granter_moves.cpp
+++ b/src/librattandyke/gateway/granter_moves.cpp
@@ -134,7 +134,7 @@
       break;
     }
     if (const auto slice = SliceOf(id, *ranges, group, except, wanted)) {
-      hot.load -= group.load.Of(*slice);
+      hot.load -= group.load.LoadOf(*slice);
       given.push_back(*slice);
       except.push_back(*slice);
     }
@@ -214,12 +214,12 @@
     const wire::RangeSegment& segment = aRanges.Find(key);
     if (!segment.held_back()) {
       const auto busy =
-        aGroup.load.BusyKeys(SpanOf(segment), kOverrun / aPerRequest);
+        aGroup.load.FindHotKeys(SpanOf(segment), kOverrun / aPerRequest);
       keys.insert(keys.end(), busy.begin(), busy.end());
     }
   }
   std::sort(keys.begin(), keys.end(), [&](KeySpan aOne, KeySpan aOther) {
-    return aGroup.load.Of(aOne) < aGroup.load.Of(aOther);
+    return aGroup.load.LoadOf(aOne) < aGroup.load.LoadOf(aOther);
   });
   return keys;
 }
@@ -280,7 +280,7 @@
   if (taker == aHolders.end()) {
     return;
   }
-  const double load = group.load.Of(*key);
+  const double load = group.load.LoadOf(*key);
   const double faster = taker->second.speed / hot.speed;
   const bool gains = tooMuch.size() > 1
                        ? faster * static_cast<double>(tooMuch.size()) > 1
@@ -387,13 +387,13 @@
                   Duration aAge,
                   bool aFirst)
 {
-  const double load = aGroup.load.Of(aFree);
+  const double load = aGroup.load.LoadOf(aFree);
   if (aTaker.load + load <= kFits * aShare) {
     return aFree;
   }
   if (aFirst) {
     const double room = aShare * kQuotaSlack - aTaker.load;
-    return room > 0 ? std::optional(aGroup.load.Take(aFree, room))
+    return room > 0 ? std::optional(aGroup.load.PrefixWithin(aFree, room))
                     : std::nullopt;
   }
   if (aAge < kChoosyTime) {
@@ -402,7 +402,7 @@
   const double part = aAge < kUrgentTime ? kChoosyPart : kUrgentPart;
   const double room =
     std::max(aShare * kQuotaSlack - aTaker.load, aShare * part);
-  return aGroup.load.Take(aFree, room);
+  return aGroup.load.PrefixWithin(aFree, room);
 }
 
 /// Safeguard: while one grant is committed, the heartbeats of hundreds of other
@@ -509,7 +509,7 @@
         }
         keys = *piece;
       }
-      taker.load += group.load.Of(keys);
+      taker.load += group.load.LoadOf(keys);
       NotePlanned(group, keys, aNow);
       wire::KeyRange* range = grant->add_ranges();
       range->set_from(keys.from);
@@ -536,11 +536,11 @@
                  double aWanted)
 {
   std::optional<KeySpan> best;
-  const LoadMap& load = aGroup.load;
+  const KeyLoadMap& load = aGroup.load;
   for (const uint32_t key : aGroup.index.HeldBy(aHolder)) {
     for (const KeySpan& keys : Without(SpanOf(aRanges.Find(key)), aExcept)) {
-      const auto slice = load.TakeBusy(keys, aWanted);
-      if (slice && (!best || load.Of(*slice) > load.Of(*best))) {
+      const auto slice = load.FindHotRun(keys, aWanted);
+      if (slice && (!best || load.LoadOf(*slice) > load.LoadOf(*best))) {
         best = slice;
       }
     }
--- a/src/librattandyke/gateway/granter_sums.cpp
+++ b/src/librattandyke/gateway/granter_sums.cpp
@@ -131,7 +131,7 @@
     if (found == holders.end()) {
       return;
     }
-    found->second.load += group->second.load.Of(aKeys);
+    found->second.load += group->second.load.LoadOf(aKeys);
     found->second.busy +=
       group->second.load.Rate(aKeys) * found->second.perRequest;
   };
@@ -146,7 +146,7 @@
 double
 Granter::EvenLevel(const Group& aGroup)
 {
-  return aGroup.load.Total() / std::max(aGroup.speeds, kLeastSpeed);
+  return aGroup.load.TotalLoad() / std::max(aGroup.speeds, kLeastSpeed);
 }
 
 void
--- a/src/librattandyke/gateway/request_handler.cpp
+++ b/src/librattandyke/gateway/request_handler.cpp
@@ -4,7 +4,7 @@
 #include <charconv>
 #include <cstdio>
 
-#include "gateway/load_map.h"
+#include "gateway/key_load_map.h"
 #include "gateway/retry_share.h"
 #include "http/headers.h"
 #include "http/signal.h"
@@ -108,23 +108,23 @@
   return {};
 }
 
-TryEnd
+AttemptOutcome
 EndOf(const ExchangeResult& aResult, bool aAbandoned)
 {
   if (aAbandoned) {
-    return TryEnd::Abandoned;
+    return AttemptOutcome::Abandoned;
   }
   switch (aResult.kind) {
     case ExchangeResult::Kind::Answer:
-      return TryEnd::Answered;
+      return AttemptOutcome::Answered;
     case ExchangeResult::Kind::NotRun:
-      return TryEnd::Refused;
+      return AttemptOutcome::Refused;
     case ExchangeResult::Kind::NotSent:
-      return TryEnd::Unreachable;
+      return AttemptOutcome::Unreachable;
     case ExchangeResult::Kind::Unknown:
-      return aResult.silent ? TryEnd::Silent : TryEnd::Broken;
+      return aResult.silent ? AttemptOutcome::TimedOut : AttemptOutcome::Broken;
   }
-  return TryEnd::Abandoned;
+  return AttemptOutcome::Abandoned;
 }
 
 } // namespace
@@ -132,7 +132,7 @@
 RequestHandler::RequestHandler(asio::any_io_executor aExecutor,
                                Options aOptions,
                                const FeedClient& aFeed,
-                               SlotDesk& aDesk,
+                               SlotCoordinator& aDesk,
                                const Dialect& aDialect,
                                const Clock& aClock)
   : mExecutor(aExecutor)
@@ -190,7 +190,7 @@
     }
   }
   mKeyLoads.clear();
-  for (const auto& [instance, seconds] : mDesk.TakeNewTimes()) {
+  for (const auto& [instance, seconds] : mDesk.TakeChangedResponseSeconds()) {
     wire::InstanceTime* time = report.add_times();
     time->set_instance(instance);
     time->set_seconds(seconds);
@@ -410,9 +410,9 @@
 Instant
 RequestHandler::PatienceEnd(const Flow& aFlow) const
 {
-  const auto patience =
+  const auto maxWait =
     std::chrono::duration_cast<Duration>(aFlow.route->objective * kWaitPart);
-  return std::min(aFlow.arrived + patience,
+  return std::min(aFlow.arrived + maxWait,
                   aFlow.deadline - Duration(kLeastTry));
 }
 
@@ -438,8 +438,8 @@
     request.instance = co_await AwaitOwner(aFlow);
     aFlow.owner = request.instance;
     if (request.instance.empty()) {
-      co_return NoSlot{ UpstreamSet::Hindrance::NoOwner,
-                        Duration(kRetryAfterNoOwner) };
+      co_return SlotUnavailable{ UpstreamSet::UnavailableReason::NoOwner,
+                                 Duration(kRetryAfterNoOwner) };
     }
   } else {
     request.excluded = aFlow.tried;
@@ -447,10 +447,10 @@
   const Instant now = mClock.Now();
   mMetrics.Observe("owner_wait", now - aFlow.arrived);
   request.priority = aFlow.route->priority;
-  request.patience = std::max(PatienceEnd(aFlow) - now, Duration::zero());
-  request.aim = std::max<Duration>(
+  request.maxWait = std::max(PatienceEnd(aFlow) - now, Duration::zero());
+  request.timeToObjective = std::max<Duration>(
     aFlow.arrived + Duration(aFlow.route->objective) - now, milliseconds{ 1 });
-  request.held = std::max(aFlow.deadline - now, Duration::zero());
+  request.maxHold = std::max(aFlow.deadline - now, Duration::zero());
   request.dataCentre = mOptions.dataCentre;
   co_return co_await mDesk.Acquire(aFlow.context, std::move(request));
 }
@@ -465,11 +465,11 @@
   // Named: a braced temporary in an awaited call is destroyed twice by the
   // compiler that Debian 12 has.
   NoteSent(BytesOf(*aFlow.request));
-  const UpstreamPeer peer{ slot.instance, slot.address, slot.life };
+  const UpstreamPeer peer{ slot.instance, slot.address, slot.incarnation };
   ExchangeResult result =
     co_await mExchanger.Run(peer, aFlow.request, left, handle);
   aFlow.context->Detach();
-  NoteTold(slot.instance, result.answer);
+  RecordLoadReport(slot.instance, result.answer);
   mDesk.Release(slot, EndOf(result, aFlow.context->IsAbandoned()), result.took);
   mMetrics.Count("tries", TryLabel(result.kind));
   mMetrics.Observe("try", result.took);
@@ -480,15 +480,15 @@
 
 /// What can't be read is counted and told nobody: the answer is good without.
 void
-RequestHandler::NoteTold(const std::string& aInstance,
-                         const IncomingAnswer& aAnswer)
+RequestHandler::RecordLoadReport(const std::string& aInstance,
+                                 const IncomingAnswer& aAnswer)
 {
   const std::string_view text = http::FieldOf(aAnswer.fields, mHeaders.load);
   if (text.empty()) {
     return;
   }
   if (const auto load = mDialect.DecodeLoad(text)) {
-    mDesk.NoteTold(aInstance, *load);
+    mDesk.RecordLoadReport(aInstance, *load);
   } else {
     mMetrics.Count("loads_not_read", "");
   }
@@ -526,15 +526,15 @@
         ++unsent;
         continue;
       }
-      const NoSlot& none = std::get<NoSlot>(outcome);
-      const bool full = none.hindrance == UpstreamSet::Hindrance::Full;
+      const SlotUnavailable& none = std::get<SlotUnavailable>(outcome);
+      const bool full = none.reason == UpstreamSet::UnavailableReason::Full;
       co_return NotRun(aFlow,
                        none.retryAfter,
                        full ? "all upstreams are full" : "no upstream");
     }
     const bool late = mClock.Now() + Duration(kWayBack) >= aFlow.deadline;
     if (late || aFlow.context->IsOver()) {
-      mDesk.Release(*slot, TryEnd::Abandoned, {});
+      mDesk.Release(*slot, AttemptOutcome::Abandoned, {});
       break;
     }
     if (aFlow.sent == 0) {
--- a/src/librattandyke/gateway/request_handler.h
+++ b/src/librattandyke/gateway/request_handler.h
@@ -23,7 +23,7 @@
 #include "gateway/metrics.h"
 #include "gateway/request_context.h"
 #include "gateway/route_table.h"
-#include "gateway/slot_desk.h"
+#include "gateway/slot_coordinator.h"
 
 namespace rattandyke::gateway {
 
@@ -47,7 +47,7 @@
   RequestHandler(boost::asio::any_io_executor aExecutor,
                  Options aOptions,
                  const FeedClient& aFeed,
-                 SlotDesk& aDesk,
+                 SlotCoordinator& aDesk,
                  const Dialect& aDialect,
                  const Clock& aClock);
 
@@ -138,7 +138,8 @@
   void WatchEgress();
   boost::asio::awaitable<ExchangeResult> Try(Flow& aFlow, const Slot& aSlot);
   /// Notes what the upstream told with its answer.
-  void NoteTold(const std::string& aInstance, const IncomingAnswer& aAnswer);
+  void RecordLoadReport(const std::string& aInstance,
+                        const IncomingAnswer& aAnswer);
   bool MayRetry(Flow& aFlow, const ExchangeResult& aResult);
   CallerAnswer Final(const Flow& aFlow, ExchangeResult aResult) const;
   CallerAnswer NotRun(const Flow& aFlow,
@@ -159,7 +160,7 @@
   const HeaderNames& mHeaders;
   const Clock& mClock;
   RouteTable mRoutes;
-  SlotDesk& mDesk;
+  SlotCoordinator& mDesk;
   Exchanger mExchanger;
   std::map<std::string, std::unique_ptr<entry::RetryBudget>> mBudgets;
   Waiters mWaiters;
