--- a/src/librattandyke/gateway/control_host_calls.cpp
+++ b/src/librattandyke/gateway/control_host_calls.cpp
@@ -101,7 +101,7 @@
   }
   if (dialect.IsHeartbeat(aCall.method, aCall.target)) {
     Result<ControlCall> call =
-      dialect.Decode(aCall.method, aCall.target, aCall.body);
+      dialect.DecodeCall(aCall.method, aCall.target, aCall.body);
     if (!call) {
       co_return Unread(aCall, call.error());
     }
@@ -163,7 +163,7 @@
 ControlHost::Impl::HandleAsLeader(const CallRequest& aCall)
 {
   Result<ControlCall> call =
-    dialect.Decode(aCall.method, aCall.target, aCall.body);
+    dialect.DecodeCall(aCall.method, aCall.target, aCall.body);
   if (!call) {
     co_return Unread(aCall, call.error());
   }
--- a/src/librattandyke/gateway/dialect.h
+++ b/src/librattandyke/gateway/dialect.h
@@ -46,21 +46,22 @@
 struct HeaderNames
 {
   /// Request: id of one attempt of the caller. An upstream repeats it in its
-  /// answer.
+  /// response.
   std::string requestId;
-  /// Request: milliseconds for which the sender waits for the answer.
+  /// Request: milliseconds for which the sender waits for the response.
   std::string deadline;
-  /// Answer: signature of the upstream, which shows that the answer is its own.
+  /// Response: signature of the upstream, which shows that the response is its
+  /// own.
   std::string signature;
   /// Request: id of the instance that is to run it. Other instances refuse it.
   std::string expectedInstance;
-  /// Answer: the upstream did not run the request.
+  /// Response: the upstream did not run the request.
   std::string notExecuted;
-  /// Answer: id of the instance.
+  /// Response: id of the instance.
   std::string instance;
   /// Request: key, for a service whose keys are owned by upstreams.
   std::string key;
-  /// Answer: load report of the upstream, see Dialect::DecodeLoad.
+  /// Response: load report of the upstream, see Dialect::DecodeLoadReport.
   std::string load;
 };
 
@@ -77,13 +78,13 @@
   /// Decodes a call to a control host.
   /// @return the call, Code::UnknownRecord if method and target name none, or
   /// Code::InvalidRecord if the body is incomplete or malformed.
-  virtual Result<ControlCall> Decode(std::string_view aMethod,
-                                     std::string_view aTarget,
-                                     std::string_view aBody) const = 0;
+  virtual Result<ControlCall> DecodeCall(std::string_view aMethod,
+                                         std::string_view aTarget,
+                                         std::string_view aBody) const = 0;
 
   /// Decodes the value of the HeaderNames::load header.
   /// @return the load report, or std::nullopt if the value is malformed.
-  virtual std::optional<LoadReport> DecodeLoad(
+  virtual std::optional<LoadReport> DecodeLoadReport(
     std::string_view aText) const = 0;
 
   /// @return whether method and target are those of a heartbeat. The body is
@@ -91,14 +92,14 @@
   virtual bool IsHeartbeat(std::string_view aMethod,
                            std::string_view aTarget) const = 0;
 
-  /// @return the body of the answer to a heartbeat.
+  /// @return the body of the response to a heartbeat.
   virtual std::string Encode(const HeartbeatAnswer& aAnswer) const = 0;
 
-  /// @return the body of the answer to ReadItems, in the format in which
+  /// @return the body of the response to ReadItems, in the format in which
   /// operators submit items.
   virtual std::string EncodeItems(const wire::GatewayState& aItems) const = 0;
 
-  /// @return the body of an error answer.
+  /// @return the body of an error response.
   virtual std::string Encode(const Error& aError) const = 0;
 
   /// @return whether the target is that of an entry host's readiness check.
--- a/src/librattandyke/gateway/item_table.h
+++ b/src/librattandyke/gateway/item_table.h
@@ -48,7 +48,9 @@
   /// been dropped.
   bool IsEmpty() const;
 
+  /// Adds the items and drops to a snapshot.
   void Save(wire::GatewayState& aState) const;
+  /// Replaces all items and drops by those of a snapshot.
   void Load(const wire::GatewayState& aState);
 
 private:
--- a/src/librattandyke/gateway/request_handler.cpp
+++ b/src/librattandyke/gateway/request_handler.cpp
@@ -487,7 +487,7 @@
   if (text.empty()) {
     return;
   }
-  if (const auto load = mDialect.DecodeLoad(text)) {
+  if (const auto load = mDialect.DecodeLoadReport(text)) {
     mDesk.RecordLoadReport(aInstance, *load);
   } else {
     mMetrics.Count("loads_not_read", "");
--- a/src/librattandyke/gateway/route_table.h
+++ b/src/librattandyke/gateway/route_table.h
@@ -22,9 +22,9 @@
   std::string pathPrefix;
   /// Whether a request may run more than once.
   bool idempotent = false;
-  /// Longest time that a caller waits for the answer.
+  /// Longest time that a caller waits for the response.
   std::chrono::milliseconds timeout{};
-  /// Latency objective: an answer within it has full value for the caller.
+  /// Latency objective: a response within it has full value for the caller.
   std::chrono::milliseconds objective{};
   /// 0 is the highest priority.
   uint32_t priority = 0;
--- a/src/librattandyke/gateway/settings.cpp
+++ b/src/librattandyke/gateway/settings.cpp
@@ -235,9 +235,10 @@
       "0",
       "a number of at least 0, or empty for the default",
       "Bandwidth of the host's network link in Mbit/s. While the link is busy, "
-      "answers are queued and sent in the order in which they are due, and "
-      "requests are refused if the link can't carry their answers in time. 0: "
-      "unknown; answers are not queued, and no request is refused for the "
+      "responses are queued and sent in the order in which they are due, and "
+      "requests are refused if the link can't carry their responses in time. "
+      "0: "
+      "unknown; responses are not queued, and no request is refused for the "
       "link.",
       [](Settings& aSettings, const std::string& aText) {
         return EmptyOr(aText,
--- a/src/librattandyke/gateway/settings.h
+++ b/src/librattandyke/gateway/settings.h
@@ -40,8 +40,8 @@
   /// Maximum number of file descriptors of the process.
   uint64_t descriptors = 4096;
 
-  /// @return the maximum number of connections of a call server. The remaining
-  /// descriptors are for files and for connections to other hosts.
+  /// @return the maximum number of connections of an HTTP server for calls. The
+  /// remaining descriptors are for files and for connections to other hosts.
   size_t MaxCallConnections() const { return descriptors * 4 / 5; }
 
   // [listen]
--- a/src/librattandyke/gateway/state.h
+++ b/src/librattandyke/gateway/state.h
@@ -82,7 +82,9 @@
     return mControls;
   }
 
+  /// @return a snapshot of the state.
   wire::GatewayState Save() const;
+  /// Replaces the state by a snapshot.
   void Load(const wire::GatewayState& aState);
 
 private:
