--- a/src/librattandyke/gateway/control_host.cpp
+++ b/src/librattandyke/gateway/control_host.cpp
@@ -81,21 +81,21 @@
     return started;
   }
   calls =
-    std::make_unique<CallServer>(executor,
+    std::make_unique<HttpServer>(executor,
                                  *settings.calls,
                                  settings.MaxCallConnections(),
-                                 [self = weak_from_this()](CallRequest aCall) {
+                                 [self = weak_from_this()](HttpRequest aCall) {
                                    return HandleWeak(self, std::move(aCall));
                                  });
   if (Result<void> started = calls->Start(); !started) {
     return started;
   }
   if (settings.metrics) {
-    metricsServer = std::make_unique<CallServer>(
+    metricsServer = std::make_unique<HttpServer>(
       executor,
       *settings.metrics,
       settings.MaxCallConnections(),
-      [self = weak_from_this()](CallRequest aCall) {
+      [self = weak_from_this()](HttpRequest aCall) {
         return AnswerMetrics(self, std::move(aCall));
       });
     if (Result<void> started = metricsServer->Start(); !started) {
--- a/src/librattandyke/gateway/feed_client.cpp
+++ b/src/librattandyke/gateway/feed_client.cpp
@@ -9,7 +9,7 @@
 #include <boost/asio/steady_timer.hpp>
 
 #include "base/endpoint.h"
-#include "gateway/packed_frame.h"
+#include "gateway/outgoing_frame.h"
 #include "log/log.h"
 #include "net/frame_connection.h"
 
@@ -318,7 +318,7 @@
     }
     if (!frame.has_packed()) {
       Dispatch(frame);
-    } else if (const auto unpacked = UnpackFrame(frame.packed())) {
+    } else if (const auto unpacked = DecompressFrame(frame.packed())) {
       Dispatch(*unpacked);
     } else {
       OnUnreadable();
@@ -471,7 +471,7 @@
 }
 
 const State&
-FeedClient::Known() const
+FeedClient::CurrentState() const
 {
   return mImpl->state;
 }
@@ -489,7 +489,7 @@
 }
 
 Duration
-FeedClient::Age() const
+FeedClient::StateAge() const
 {
   return mImpl->clock.Now() - mImpl->assuredAt;
 }
--- a/src/librattandyke/gateway/slot_coordinator.cpp
+++ b/src/librattandyke/gateway/slot_coordinator.cpp
@@ -177,8 +177,8 @@
   if (left <= Duration::zero()) {
     co_return;
   }
-  aPending->context->Wake().expires_after(left);
-  co_await aPending->context->Wake().async_wait(kAwait);
+  aPending->context->WakeTimer().expires_after(left);
+  co_await aPending->context->WakeTimer().async_wait(kAwait);
 }
 
 /// Waits for any answer of the home.
@@ -187,7 +187,7 @@
 {
   const auto heard = [&] {
     return aPending->outcome || aPending->queued || aPending->declined ||
-           aPending->context->IsOver();
+           aPending->context->IsCancelled();
   };
   while (!heard() && mClock.Now() < aUntil) {
     co_await WaitFor(aPending, aUntil);
@@ -236,7 +236,8 @@
     mSilentUntil[aHome] = mClock.Now() + Duration(kDeclinedFor);
     co_return;
   }
-  if (!aPending->outcome && !aPending->queued && !aPending->context->IsOver()) {
+  if (!aPending->outcome && !aPending->queued &&
+      !aPending->context->IsCancelled()) {
     mSilentUntil[aHome] = mClock.Now() + Duration(kLeftAlone);
     log::Line(log::Part::Entry, log::Severity::Info)
       << "slots' home " << aHome << " is silent; goes by itself for "
@@ -245,7 +246,7 @@
   }
   // The home ends its wait, at the latest when no answer can come in time.
   const Instant end = asked + aRequest.maxHold;
-  while (!aPending->outcome && !aPending->context->IsOver() &&
+  while (!aPending->outcome && !aPending->context->IsCancelled() &&
          mClock.Now() < end) {
     co_await WaitFor(aPending, end);
   }
@@ -261,7 +262,7 @@
   SlotRequestLimiter::Verdict verdict =
     mLine.Enter(ticket, aRequest.instance, aRequest.priority, entered);
   if (std::holds_alternative<SlotRequestLimiter::MustWait>(verdict)) {
-    while (!aPending->turn && !aPending->context->IsOver() &&
+    while (!aPending->turn && !aPending->context->IsCancelled() &&
            mClock.Now() < end) {
       co_await WaitFor(aPending, end);
     }
@@ -291,7 +292,7 @@
     co_return;
   }
   // While it waited, the home may have been found to be silent.
-  if (!aPending->context->IsOver() && !IsSilent(aHome)) {
+  if (!aPending->context->IsCancelled() && !IsSilent(aHome)) {
     const Duration left = std::max(end - mClock.Now(), Duration::zero());
     aRequest.timeToObjective -=
       std::min(aRequest.maxWait - left, aRequest.timeToObjective);
@@ -326,7 +327,7 @@
     const auto found = mPending.find(turn.ticket);
     if (found != mPending.end()) {
       found->second->turn = turn.verdict;
-      found->second->context->Wake().cancel();
+      found->second->context->WakeTimer().cancel();
     }
   }
 }
@@ -337,7 +338,7 @@
 {
   const Instant end = mClock.Now() + aRequest.maxHold;
   Deliver(mBroker.Ask(aRequest, mClock.Now()));
-  while (!aPending->outcome && !aPending->context->IsOver() &&
+  while (!aPending->outcome && !aPending->context->IsCancelled() &&
          mClock.Now() < end) {
     co_await WaitFor(aPending, end);
   }
@@ -369,7 +370,7 @@
     aRequest.excluded.insert(slot->instance);
     outcome.reset();
   }
-  if (!outcome && !aContext->IsOver()) {
+  if (!outcome && !aContext->IsCancelled()) {
     aRequest.alone = !home.empty() && home != mSelf;
     if (aRequest.alone && !aRequest.calm) {
       co_return SlotUnavailable{ UpstreamSet::UnavailableReason::Full,
@@ -538,7 +539,7 @@
              !pending.instance.empty()) {
     Tell(mLine.OnQueued(pending.instance));
   }
-  pending.context->Wake().cancel();
+  pending.context->WakeTimer().cancel();
 }
 
 void
@@ -547,7 +548,7 @@
   const auto found = mPending.find(aTicket);
   if (found != mPending.end()) {
     found->second->declined = true;
-    found->second->context->Wake().cancel();
+    found->second->context->WakeTimer().cancel();
   }
 }
 
