--- a/src/librattandyke/gateway/item_table.h
+++ b/src/librattandyke/gateway/item_table.h
@@ -1,4 +1,4 @@
-/// Operators' items: routes, services and limits, each with its own version.
+/// Replicated configuration items: routes, services and limits.
 #pragma once
 
 #include <map>
@@ -11,70 +11,78 @@
 
 namespace rattandyke::gateway {
 
-/// The items in force and the versions of those that were dropped. Of each
-/// name the highest version counts, whether it sets or drops the item; a lower
-/// one changes nothing. So changes may arrive in any order and more than once,
-/// and all hosts end with the same items. Not thread-safe.
+/// Versioned table of the configuration items that operators submit. For each
+/// name the highest version wins, whether it sets or drops the item; a lower
+/// version has no effect. All hosts therefore converge on the same items, even
+/// if changes arrive out of order or more than once. Not thread-safe.
 class ItemTable
 {
 public:
-  /// @return whether the change may be applied as a whole:
-  /// Code::InvalidRecord if the items that would result contradict each other,
-  /// Code::RevisionConflict if an item carries the version in force with other
-  /// contents.
+  /// Checks whether a change can be applied as a whole.
+  /// @return Code::InvalidRecord if a route is invalid or the resulting items
+  /// are inconsistent, Code::RevisionConflict if the version of an item is
+  /// already used for other contents.
   Result<void> Check(const wire::ChangeItems& aChange) const;
 
-  /// Applies a change that Check allows.
+  /// Applies a change that has passed Check.
   void Apply(const wire::ChangeItems& aChange);
 
-  /// Applies a change if Check allows it, at the cost of one look at it.
-  /// @return as Check.
+  /// Applies a change if it passes Check, and compares it with the current
+  /// items only once.
+  /// @return the result of Check.
   Result<void> CheckAndApply(const wire::ChangeItems& aChange);
 
+  /// @return the current routes, by name.
   const std::map<std::string, wire::RouteItem>& Routes() const
   {
     return mRoutes;
   }
+  /// @return the current services, by name.
   const std::map<std::string, wire::ServiceItem>& Services() const
   {
     return mServices;
   }
   const wire::LimitsItem& Limits() const { return mLimits; }
 
-  /// @return whether no change has been applied yet.
+  /// @return whether there are no routes, services or limits, and no route has
+  /// been dropped.
   bool IsEmpty() const;
 
+  /// Adds the items and drops to a snapshot.
   void Save(wire::GatewayState& aState) const;
+  /// Replaces all items and drops by those of a snapshot.
   void Load(const wire::GatewayState& aState);
 
 private:
-  /// What a change would make of the items that it names.
-  class Outcome;
+  /// Routes and services that a change sets or drops.
+  class ChangeSet;
 
   Result<void> Check(const wire::ChangeItems& aChange,
-                     const Outcome& aOutcome) const;
-  void Apply(const wire::ChangeItems& aChange, const Outcome& aOutcome);
-  Result<void> CheckPlaces(const Outcome& aOutcome) const;
-  Result<void> CheckServices(const Outcome& aOutcome) const;
+                     const ChangeSet& aChanges) const;
+  void Apply(const wire::ChangeItems& aChange, const ChangeSet& aChanges);
+  Result<void> CheckRouteMatches(const ChangeSet& aChanges) const;
+  Result<void> CheckServiceReferences(const ChangeSet& aChanges) const;
+  /// Adds a route to the indexes below.
   void Index(const wire::RouteItem& aRoute);
-  /// Before the route of that name goes or changes; there may be none.
+  /// Removes the current route of that name, if there is one, from the indexes
+  /// below. Must run before the route is replaced or dropped.
   void Unindex(const std::string& aRoute);
 
   std::map<std::string, wire::RouteItem> mRoutes;
   std::map<std::string, wire::ServiceItem> mServices;
   wire::LimitsItem mLimits;
-  /// Version at which a name was dropped. Without it an older change that
-  /// arrives late would bring the item back.
+  /// Version of the drop of each dropped item, by name. A late change with a
+  /// lower version does not restore the item.
   std::map<std::string, uint64_t> mDroppedRoutes;
   std::map<std::string, uint64_t> mDroppedServices;
-  /// Name of the route at each host and prefix, and number of parts of routes
-  /// that name a service.
+  /// Indexes that make the cost of a check proportional to the change.
+  /// Checking one changed route against thousands of routes blocked the thread
+  /// of a small entry host for 50 ms, during which it answered no request.
   ///
-  /// Safeguard: checked against all items, the change of one route among
-  /// thousands keeps the thread of a small entry host for 50 ms, in which it
-  /// answers nobody. With these a change costs what it changes.
-  std::map<std::pair<std::string, std::string>, std::string> mPlaces;
-  std::map<std::string, size_t> mUses;
+  /// Route name by match (host and path prefix).
+  std::map<std::pair<std::string, std::string>, std::string> mRouteByMatch;
+  /// Number of route parts that reference a service, by service name.
+  std::map<std::string, size_t> mServiceReferences;
 };
 
 } // namespace rattandyke::gateway
