--- a/src/librattandyke/gateway/entry_registry.cpp
+++ b/src/librattandyke/gateway/entry_registry.cpp
@@ -4,26 +4,27 @@
 
 namespace {
 
-/// Longer than an entry needs to find another control host (700 ms of silence
-/// and a connection), with a report each second.
-constexpr std::chrono::milliseconds kForgottenAfter{ 2200 };
-/// A command that has not come by then was lost with a leader.
-constexpr std::chrono::milliseconds kProposedFor{ 1000 };
+/// Time after its last report at which an entry host is removed. Longer than an
+/// entry host needs to reconnect to another control host (700 ms until it
+/// detects the failure, and a connection), with one report per second.
+constexpr std::chrono::milliseconds kRemoveAfter{ 2200 };
+/// Time after which a proposed command counts as lost in a change of leader.
+constexpr std::chrono::milliseconds kProposalTimeout{ 1000 };
 
 } // namespace
 
 void
-EntryRegistry::BecomeLeader(const State& aState, Instant aNow)
+EntryRegistry::OnElected(const State& aState, Instant aNow)
 {
   mEntries.clear();
-  mProposed.clear();
+  mProposedAt.clear();
   for (const auto& [address, member] : aState.Entries()) {
     mEntries[address] = { member, aNow };
   }
 }
 
 void
-EntryRegistry::Seen(const wire::EntryMember& aEntry, Instant aNow)
+EntryRegistry::RecordReport(const wire::EntryMember& aEntry, Instant aNow)
 {
   mEntries[aEntry.address()] = { aEntry, aNow };
 }
@@ -31,24 +32,24 @@
 bool
 EntryRegistry::MayPropose(const std::string& aAddress, Instant aNow)
 {
-  return mProposed.try_emplace(aAddress, aNow).second;
+  return mProposedAt.try_emplace(aAddress, aNow).second;
 }
 
 std::vector<wire::GatewayCommand>
 EntryRegistry::Tick(const State& aState, Instant aNow)
 {
-  std::erase_if(mProposed, [&](const auto& aItem) {
-    return aNow - aItem.second >= kProposedFor;
+  std::erase_if(mProposedAt, [&](const auto& aItem) {
+    return aNow - aItem.second >= kProposalTimeout;
   });
   std::vector<wire::GatewayCommand> commands;
   for (auto at = mEntries.begin(); at != mEntries.end();) {
-    const bool forgotten = aNow - at->second.seenAt >= kForgottenAfter;
-    if (!forgotten && !aState.Entries().contains(at->first) &&
+    const bool expired = aNow - at->second.reportedAt >= kRemoveAfter;
+    if (!expired && !aState.Entries().contains(at->first) &&
         MayPropose(at->first, aNow)) {
       *commands.emplace_back().mutable_put_entry()->mutable_entry() =
         at->second.member;
     }
-    at = forgotten ? mEntries.erase(at) : std::next(at);
+    at = expired ? mEntries.erase(at) : std::next(at);
   }
   for (const auto& [address, member] : aState.Entries()) {
     if (!mEntries.contains(address) && MayPropose(address, aNow)) {
--- a/src/librattandyke/gateway/entry_registry.h
+++ b/src/librattandyke/gateway/entry_registry.h
@@ -1,4 +1,4 @@
-/// Which entry hosts serve callers, as the leader decides.
+/// Membership of entry hosts, as maintained by the leader.
 #pragma once
 
 #include <map>
@@ -12,39 +12,42 @@
 
 namespace rattandyke::gateway {
 
-/// Collects what control hosts report of their subscribers and keeps the
-/// replicated list of entry hosts in step with it. Entries share upstreams'
-/// slots by that list, so a host must leave it soon after it died, but not
-/// while it only changes from one control host to another.
+/// Tracks the entry hosts that subscribe at any control host, and proposes
+/// commands that keep the replicated list of entry hosts up to date. Entry
+/// hosts share the slots of upstreams according to that list, so a host must be
+/// removed soon after it fails, but not while it reconnects to another control
+/// host. Does no I/O. Not thread-safe.
 ///
-/// Safeguard: a command is not proposed again while the log may still bring it.
-/// With one for each of a thousand entries in each tick, a log that is slow for
-/// a moment would be kept slow by them. Does no I/O. Not thread-safe.
+/// A command is not proposed again while the first one may still be committed:
+/// with one command for each of a thousand entry hosts in each tick, a log that
+/// is slow for a moment would stay slow.
 class EntryRegistry
 {
 public:
-  /// This host leads from now on: it has heard of nobody yet.
-  void BecomeLeader(const State& aState, Instant aNow);
+  /// Resets all reports. Call it when this host is elected leader. All entry
+  /// hosts in the state count as just reported.
+  void OnElected(const State& aState, Instant aNow);
 
-  /// An entry host subscribes somewhere.
-  void Seen(const wire::EntryMember& aEntry, Instant aNow);
+  /// Records that an entry host subscribes at a control host.
+  void RecordReport(const wire::EntryMember& aEntry, Instant aNow);
 
-  /// @return commands that make the list what has been seen.
+  /// @return commands that bring the replicated list in line with the reports.
   std::vector<wire::GatewayCommand> Tick(const State& aState, Instant aNow);
 
 private:
   struct Entry
   {
     wire::EntryMember member;
-    Instant seenAt{};
+    Instant reportedAt{};
   };
 
-  /// @return whether a command for an entry is to be proposed now.
+  /// @return whether a command for an entry host may be proposed now. If so,
+  /// aNow is recorded as its time.
   bool MayPropose(const std::string& aAddress, Instant aNow);
 
   std::map<std::string, Entry> mEntries;
-  /// When commands were proposed, by the entry's address.
-  std::map<std::string, Instant> mProposed;
+  /// Time at which the last command for an entry host was proposed, by address.
+  std::map<std::string, Instant> mProposedAt;
 };
 
 } // namespace rattandyke::gateway
--- a/src/librattandyke/gateway/entry_registry_test.cpp
+++ b/src/librattandyke/gateway/entry_registry_test.cpp
@@ -17,32 +17,32 @@
   return member;
 }
 
-// Guards against a slow log that is kept slow by the same commands again and
-// again: a thousand entries come while nothing is committed.
-TEST(EntryRegistry, CommandsAreNotRepeatedWhileTheLogIsSlow)
+// Guards against a slow log that repeated commands keep slow: a thousand entry
+// hosts subscribe while nothing is committed.
+TEST(EntryRegistry, CommandsAreNotRepeatedWhileLogIsSlow)
 {
   constexpr size_t kEntries = 1000;
   State state;
   EntryRegistry registry;
   Instant now{ std::chrono::hours{ 1 } };
-  registry.BecomeLeader(state, now);
+  registry.OnElected(state, now);
   size_t proposed = 0;
   for (int tick = 0; tick < 9; ++tick) {
     for (size_t at = 0; at < kEntries; ++at) {
-      registry.Seen(Member(at), now);
+      registry.RecordReport(Member(at), now);
     }
     proposed += registry.Tick(state, now).size();
     now += kTick;
   }
   EXPECT_EQ(proposed, kEntries);
-  // They were lost: all are proposed once more.
+  // The commands are lost: all are proposed once more.
   for (size_t at = 0; at < kEntries; ++at) {
-    registry.Seen(Member(at), now);
+    registry.RecordReport(Member(at), now);
   }
   EXPECT_EQ(registry.Tick(state, now + kTick).size(), kEntries);
 }
 
-TEST(EntryRegistry, EntryThatComesBackIsListedAgain)
+TEST(EntryRegistry, ReturningEntryHostIsAddedAgain)
 {
   State state;
   EntryRegistry registry;
@@ -54,8 +54,8 @@
     }
     now += kTick;
   };
-  registry.BecomeLeader(state, now);
-  registry.Seen(Member(1), now);
+  registry.OnElected(state, now);
+  registry.RecordReport(Member(1), now);
   tick();
   EXPECT_EQ(state.Entries().size(), 1U);
   for (int ticks = 0; ticks < 30; ++ticks) {
@@ -63,7 +63,7 @@
   }
   EXPECT_TRUE(state.Entries().empty());
   for (int ticks = 0; ticks < 12; ++ticks) {
-    registry.Seen(Member(1), now);
+    registry.RecordReport(Member(1), now);
     tick();
   }
   EXPECT_EQ(state.Entries().size(), 1U);
--- a/src/librattandyke/gateway/heartbeat.h
+++ b/src/librattandyke/gateway/heartbeat.h
@@ -1,4 +1,4 @@
-/// What upstream instances tell control hosts, and what they are answered.
+/// Heartbeats of upstream instances to control hosts, and the answers.
 #pragma once
 
 #include <cstdint>
@@ -12,22 +12,23 @@
 
 namespace rattandyke::gateway {
 
-/// Keys that an instance holds, with the fence of their grant.
+/// Range that an instance owns, with the fencing token of its grant.
 struct HeldRange
 {
   KeySpan keys;
   Fence fence;
 };
 
-/// Keys that an instance has let go of. The next holder that is given the
-/// handover starts warm.
+/// Range that an instance has released.
 struct ReleasedRange
 {
   KeySpan keys;
+  /// Opaque token that the next owner receives, so that it can start warm.
   std::string handover;
 };
 
-/// A sign of life of one instance.
+/// Periodic message of an upstream instance: its registration, its state, and
+/// the key ranges that it owns or has released.
 struct Heartbeat
 {
   std::string instance;
@@ -37,42 +38,45 @@
   std::string version;
   uint32_t slots = 0;
   bool draining = false;
-  /// Time left for which it is cold: slow, and able to bear only a few requests
-  /// a second.
+  /// Remaining time of the cold phase after a start, in which the instance is
+  /// slow and can process only a few requests per second.
   Duration cold{};
-  /// Tells apart the lives of a process that starts again under its id: it
-  /// rises with each start. 0: the instance does not say.
+  /// Incarnation number of the process: it rises with each start under the same
+  /// instance id. 0 if the instance does not report it.
   uint64_t life = 0;
-  /// Rises with each call of one life.
+  /// Sequence number within the incarnation; rises with each heartbeat.
   uint64_t sequence = 0;
-  /// Includes keys that it still works on.
+  /// Ranges that the instance has not released, including those with requests
+  /// still in progress.
   std::vector<HeldRange> holds;
-  /// Since the last heartbeat that was answered.
+  /// Ranges that the instance has released since its last answered heartbeat.
   std::vector<ReleasedRange> released;
 };
 
-/// A range that an instance is to hold.
+/// Range that an instance owns until its lease ends.
 struct GrantedRange
 {
   KeySpan keys;
   Fence fence;
-  /// Of the last holder; empty: there is none.
+  /// Handover of the previous owner; empty if there is none.
   std::string handover;
 };
 
-/// All that an instance is to hold; what is left out it must release.
+/// All ranges that an instance owns. It must release all others.
 struct Grants
 {
   std::vector<GrantedRange> ranges;
-  /// Counted by the instance from when it sent the heartbeat.
-  Duration holdTime{};
+  /// Counted by the instance from the time at which it sent the heartbeat.
+  Duration leaseDuration{};
 };
 
+/// Answer to a heartbeat.
 struct HeartbeatAnswer
 {
-  /// None: the answer renews nothing.
+  /// Not set if the answer does not renew the lease.
   std::optional<Grants> grants;
-  /// Where later heartbeats should go; empty: where they like.
+  /// Address to which the instance should send later heartbeats; empty for no
+  /// preference.
   std::string heartbeatAddress;
 };
 
--- a/src/librattandyke/gateway/heartbeat_queue.cpp
+++ b/src/librattandyke/gateway/heartbeat_queue.cpp
@@ -5,28 +5,28 @@
 namespace rattandyke::gateway {
 
 bool
-HeartbeatQueue::Add(Waiting aWaiting)
+HeartbeatQueue::Add(Pending aPending)
 {
-  if (mWaiting.size() >= kMostWaiting) {
+  if (mPending.size() >= kCapacity) {
     return false;
   }
-  mWaiting.push_back(std::move(aWaiting));
+  mPending.push_back(std::move(aPending));
   return true;
 }
 
-HeartbeatQueue::Slice
-HeartbeatQueue::Take(Instant aNow)
+HeartbeatQueue::Batch
+HeartbeatQueue::TakeBatch(Instant aNow)
 {
-  Slice slice;
-  while (!mWaiting.empty() &&
-         slice.decide.size() + slice.refuse.size() < kSlice) {
-    Waiting& first = mWaiting.front();
+  Batch batch;
+  while (!mPending.empty() &&
+         batch.toProcess.size() + batch.toReject.size() < kBatchSize) {
+    Pending& first = mPending.front();
     auto& to =
-      aNow - first.arrived < kLongestWait ? slice.decide : slice.refuse;
+      aNow - first.receivedAt < kMaxWait ? batch.toProcess : batch.toReject;
     to.push_back(std::move(first));
-    mWaiting.pop_front();
+    mPending.pop_front();
   }
-  return slice;
+  return batch;
 }
 
 } // namespace rattandyke::gateway
--- a/src/librattandyke/gateway/heartbeat_queue.h
+++ b/src/librattandyke/gateway/heartbeat_queue.h
@@ -1,4 +1,4 @@
-/// Heartbeats that wait for the leader's decision.
+/// Queue of heartbeats for the leader.
 #pragma once
 
 #include <cstddef>
@@ -12,49 +12,53 @@
 
 namespace rattandyke::gateway {
 
-/// Hands out heartbeats in the order of their arrival, a few at a time, and
-/// sorts out those that have waited so long that their senders have gone
-/// elsewhere.
+/// Bounded FIFO queue of forwarded heartbeats, which the leader processes in
+/// batches. Heartbeats that waited so long that their senders have given up are
+/// returned for rejection. Does no I/O. Not thread-safe.
 ///
-/// Safeguard: after a loss all upstreams of a fleet send heartbeats in the same
-/// moment. Decided at once, they would keep the leader's thread from the words
-/// of the other control hosts until it is deposed, and its successor after it.
-/// Does no I/O. Not thread-safe.
+/// After an outage all upstreams of a fleet send heartbeats at the same time.
+/// If the leader processed them all at once, its thread would not handle the
+/// messages of the other control hosts in the meantime; the leader would be
+/// deposed, and its successor after it.
 class HeartbeatQueue
 {
 public:
-  struct Waiting
+  struct Pending
   {
     HostName replyTo;
     wire::ForwardedHeartbeat heartbeat;
-    Instant arrived{};
+    Instant receivedAt{};
   };
 
-  /// What is to be done before anything else gets a turn.
-  struct Slice
+  /// Heartbeats to handle before the thread does other work.
+  struct Batch
   {
-    std::vector<Waiting> decide;
-    /// Their senders wait no more.
-    std::vector<Waiting> refuse;
+    std::vector<Pending> toProcess;
+    /// Heartbeats that waited for kMaxWait or longer.
+    std::vector<Pending> toReject;
   };
 
-  /// Heartbeats that are decided in one turn.
-  static constexpr size_t kSlice = 32;
-  /// Heartbeats that may wait: more than are decided within kLongestWait.
-  static constexpr size_t kMostWaiting = 32768;
-  /// Senders go elsewhere after a second. What is decided so late that its
-  /// answer comes too late is decided in vain, and its sender calls again.
-  static constexpr Duration kLongestWait = std::chrono::milliseconds{ 300 };
+  /// Maximum number of heartbeats in a batch.
+  static constexpr size_t kBatchSize = 32;
+  /// Maximum length of the queue: more heartbeats than are processed within
+  /// kMaxWait.
+  static constexpr size_t kCapacity = 32768;
+  /// Maximum time in the queue. Senders try another control host after a
+  /// second; work on a heartbeat whose answer arrives later is wasted, and the
+  /// sender repeats the heartbeat.
+  static constexpr Duration kMaxWait = std::chrono::milliseconds{ 300 };
 
-  /// @return whether it is kept; if not, it is to be refused.
-  bool Add(Waiting aWaiting);
+  /// @return whether the heartbeat was added. If the queue is full, it must be
+  /// rejected.
+  bool Add(Pending aPending);
 
-  Slice Take(Instant aNow);
+  /// Removes the next batch from the queue.
+  Batch TakeBatch(Instant aNow);
 
-  bool IsEmpty() const { return mWaiting.empty(); }
+  bool IsEmpty() const { return mPending.empty(); }
 
 private:
-  std::deque<Waiting> mWaiting;
+  std::deque<Pending> mPending;
 };
 
 } // namespace rattandyke::gateway
--- a/src/librattandyke/gateway/heartbeat_queue_test.cpp
+++ b/src/librattandyke/gateway/heartbeat_queue_test.cpp
@@ -5,59 +5,59 @@
 namespace rattandyke::gateway {
 namespace {
 
-HeartbeatQueue::Waiting
-Numbered(uint64_t aId, Instant aArrived)
+HeartbeatQueue::Pending
+PendingWithId(uint64_t aId, Instant aReceivedAt)
 {
-  HeartbeatQueue::Waiting waiting;
-  waiting.heartbeat.set_id(aId);
-  waiting.arrived = aArrived;
-  return waiting;
+  HeartbeatQueue::Pending pending;
+  pending.heartbeat.set_id(aId);
+  pending.receivedAt = aReceivedAt;
+  return pending;
 }
 
-// Guards against a leader that decides the heartbeats of a whole fleet in one
-// turn and hears nothing of its followers meanwhile.
-TEST(HeartbeatQueue, TurnsAreShortHoweverManyCome)
+// Guards against a leader that processes the heartbeats of a whole fleet at
+// once, and handles no messages of its followers in the meantime.
+TEST(HeartbeatQueue, BatchesAreSmallForAnyQueueLength)
 {
   const Instant now{ std::chrono::hours{ 1 } };
   HeartbeatQueue queue;
   for (uint64_t id = 1; id <= 10000; ++id) {
-    ASSERT_TRUE(queue.Add(Numbered(id, now)));
+    ASSERT_TRUE(queue.Add(PendingWithId(id, now)));
   }
   uint64_t next = 1;
   while (!queue.IsEmpty()) {
-    const auto slice = queue.Take(now);
-    EXPECT_LE(slice.decide.size(), HeartbeatQueue::kSlice);
-    EXPECT_TRUE(slice.refuse.empty());
-    for (const auto& waiting : slice.decide) {
-      EXPECT_EQ(waiting.heartbeat.id(), next++);
+    const auto batch = queue.TakeBatch(now);
+    EXPECT_LE(batch.toProcess.size(), HeartbeatQueue::kBatchSize);
+    EXPECT_TRUE(batch.toReject.empty());
+    for (const auto& pending : batch.toProcess) {
+      EXPECT_EQ(pending.heartbeat.id(), next++);
     }
   }
   EXPECT_EQ(next, 10001U);
 }
 
-// Guards against work for senders that have gone elsewhere, which makes those
-// behind them late, too.
-TEST(HeartbeatQueue, OldOnesAreRefused)
+// Guards against work on heartbeats whose senders have given up, which delays
+// the heartbeats behind them.
+TEST(HeartbeatQueue, OldHeartbeatsAreRejected)
 {
   const Instant now{ std::chrono::hours{ 1 } };
   HeartbeatQueue queue;
-  queue.Add(Numbered(1, now));
-  queue.Add(Numbered(2, now + HeartbeatQueue::kLongestWait / 2));
-  const auto slice = queue.Take(now + HeartbeatQueue::kLongestWait);
-  ASSERT_EQ(slice.refuse.size(), 1U);
-  EXPECT_EQ(slice.refuse.front().heartbeat.id(), 1U);
-  ASSERT_EQ(slice.decide.size(), 1U);
-  EXPECT_EQ(slice.decide.front().heartbeat.id(), 2U);
+  queue.Add(PendingWithId(1, now));
+  queue.Add(PendingWithId(2, now + HeartbeatQueue::kMaxWait / 2));
+  const auto batch = queue.TakeBatch(now + HeartbeatQueue::kMaxWait);
+  ASSERT_EQ(batch.toReject.size(), 1U);
+  EXPECT_EQ(batch.toReject.front().heartbeat.id(), 1U);
+  ASSERT_EQ(batch.toProcess.size(), 1U);
+  EXPECT_EQ(batch.toProcess.front().heartbeat.id(), 2U);
 }
 
-// Guards against memory that grows with what misbehaving upstreams send.
-TEST(HeartbeatQueue, IsBounded)
+// Guards against memory that grows without limit when upstreams misbehave.
+TEST(HeartbeatQueue, AddFailsIfFull)
 {
   HeartbeatQueue queue;
-  for (size_t at = 0; at < HeartbeatQueue::kMostWaiting; ++at) {
-    ASSERT_TRUE(queue.Add(Numbered(at, {})));
+  for (size_t at = 0; at < HeartbeatQueue::kCapacity; ++at) {
+    ASSERT_TRUE(queue.Add(PendingWithId(at, {})));
   }
-  EXPECT_FALSE(queue.Add(Numbered(0, {})));
+  EXPECT_FALSE(queue.Add(PendingWithId(0, {})));
 }
 
 } // namespace
--- a/src/librattandyke/gateway/heartbeat_wire.h
+++ b/src/librattandyke/gateway/heartbeat_wire.h
@@ -1,4 +1,5 @@
-/// Heartbeats and their answers between control hosts.
+/// Conversion of heartbeats and their answers to and from the messages between
+/// control hosts.
 #pragma once
 
 #include <rattandyke/result.h>
@@ -8,12 +9,13 @@
 
 namespace rattandyke::gateway {
 
-/// @param aId by which the answer is known.
+/// @param aId correlates the answer with the heartbeat.
 wire::ForwardedHeartbeat ToWire(const Heartbeat& aHeartbeat, uint64_t aId);
 
 Heartbeat FromWire(const wire::ForwardedHeartbeat& aHeartbeat);
 
-/// Where later heartbeats should go is not told: whoever asked says so itself.
+/// HeartbeatAnswer::heartbeatAddress is not part of the message: the control
+/// host that received the heartbeat sets it.
 wire::ForwardedHeartbeatAnswer ToWire(const Result<HeartbeatAnswer>& aAnswer,
                                       uint64_t aId);
 
--- a/src/librattandyke/gateway/key_spans.cpp
+++ b/src/librattandyke/gateway/key_spans.cpp
@@ -5,7 +5,7 @@
 namespace rattandyke::gateway {
 
 std::optional<KeySpan>
-Overlap(KeySpan aOne, KeySpan aOther)
+Intersect(KeySpan aOne, KeySpan aOther)
 {
   const KeySpan common{ std::max(aOne.from, aOther.from),
                         std::min(aOne.to, aOther.to) };
@@ -23,12 +23,12 @@
 
 namespace {
 
-/// @return what is left of a span without another.
+/// @return the parts of a span that another span does not cover.
 std::vector<KeySpan>
-Without(KeySpan aSpan, KeySpan aTaken)
+Subtract(KeySpan aSpan, KeySpan aSubtracted)
 {
   std::vector<KeySpan> rest;
-  const auto common = Overlap(aSpan, aTaken);
+  const auto common = Intersect(aSpan, aSubtracted);
   if (!common) {
     return { aSpan };
   }
@@ -44,13 +44,13 @@
 } // namespace
 
 std::vector<KeySpan>
-Without(KeySpan aSpan, const std::vector<KeySpan>& aTaken)
+Subtract(KeySpan aSpan, const std::vector<KeySpan>& aSubtracted)
 {
   std::vector<KeySpan> rest{ aSpan };
-  for (const KeySpan& taken : aTaken) {
+  for (const KeySpan& subtracted : aSubtracted) {
     std::vector<KeySpan> next;
     for (const KeySpan& part : rest) {
-      const auto parts = Without(part, taken);
+      const auto parts = Subtract(part, subtracted);
       next.insert(next.end(), parts.begin(), parts.end());
     }
     rest = std::move(next);
--- a/src/librattandyke/gateway/key_spans.h
+++ b/src/librattandyke/gateway/key_spans.h
@@ -1,4 +1,4 @@
-/// Arithmetic with spans of keys.
+/// Set operations on key spans.
 #pragma once
 
 #include <optional>
@@ -8,12 +8,14 @@
 
 namespace rattandyke::gateway {
 
-/// @return the keys that both have.
-std::optional<KeySpan> Overlap(KeySpan aOne, KeySpan aOther);
+/// @return the intersection of two spans; nothing if they are disjoint.
+std::optional<KeySpan> Intersect(KeySpan aOne, KeySpan aOther);
 
 KeySpan SpanOf(const wire::RangeSegment& aSegment);
 
-/// @return what is left of a span without others.
-std::vector<KeySpan> Without(KeySpan aSpan, const std::vector<KeySpan>& aTaken);
+/// @return the parts of a span that no span in aSubtracted covers, in ascending
+/// order.
+std::vector<KeySpan> Subtract(KeySpan aSpan,
+                              const std::vector<KeySpan>& aSubtracted);
 
 } // namespace rattandyke::gateway
--- a/src/librattandyke/gateway/holder_index.cpp
+++ b/src/librattandyke/gateway/owner_index.cpp
@@ -1,11 +1,11 @@
-#include "gateway/holder_index.h"
+#include "gateway/owner_index.h"
 
 #include <algorithm>
 
 namespace rattandyke::gateway {
 
 void
-HolderIndex::Follow(const RangeTable& aRanges)
+OwnerIndex::Update(const RangeTable& aRanges)
 {
   if (mVersion == aRanges.Version()) {
     return;
@@ -14,26 +14,26 @@
     mVersion ? aRanges.ChangesSince(*mVersion) : std::nullopt;
   mVersion = aRanges.Version();
   if (!changes) {
-    Read(aRanges, { 0, kMaxKey });
+    Reread(aRanges, { 0, kMaxKey });
     return;
   }
   for (const KeySpan& keys : *changes) {
-    Read(aRanges, keys);
+    Reread(aRanges, keys);
   }
 }
 
-const HolderIndex::FirstKeys&
-HolderIndex::HeldBy(const std::string& aHolder) const
+const OwnerIndex::FirstKeys&
+OwnerIndex::OwnedBy(const std::string& aOwner) const
 {
   static const FirstKeys sNone;
-  const auto found = mHeldBy.find(aHolder);
-  return found == mHeldBy.end() ? sNone : found->second;
+  const auto found = mOwnedBy.find(aOwner);
+  return found == mOwnedBy.end() ? sNone : found->second;
 }
 
-/// Reads all segments that overlap the keys or lie next to them: a change may
-/// have joined the segments on both sides.
+/// Reads all segments that overlap the keys or are adjacent to them: a change
+/// may have merged the segments on both sides.
 void
-HolderIndex::Read(const RangeTable& aRanges, KeySpan aKeys)
+OwnerIndex::Reread(const RangeTable& aRanges, KeySpan aKeys)
 {
   const uint32_t from = aKeys.from == 0 ? 0 : aKeys.from - 1;
   const uint32_t to = std::min(aKeys.to + 1, kMaxKey);
@@ -49,10 +49,11 @@
   }
   for (uint32_t key = reread.from; key <= reread.to;) {
     const wire::RangeSegment& segment = aRanges.Find(key);
-    // It may reach beyond what was known here: a later change tells the rest.
-    const auto known = mSegments.find(segment.from());
-    if (known != mSegments.end()) {
-      Remove(known);
+    // The segment may extend beyond the range that is read again. A later
+    // change covers the rest.
+    const auto existing = mSegments.find(segment.from());
+    if (existing != mSegments.end()) {
+      Remove(existing);
     }
     Add(segment);
     key = segment.to() + 1;
@@ -60,7 +61,7 @@
 }
 
 void
-HolderIndex::Add(const wire::RangeSegment& aSegment)
+OwnerIndex::Add(const wire::RangeSegment& aSegment)
 {
   ++mSegmentsRead;
   mSegments[aSegment.from()] = { aSegment.to(),
@@ -69,24 +70,24 @@
   if (aSegment.holder().empty()) {
     mFree.insert(aSegment.from());
   } else {
-    mHeldBy[aSegment.holder()].insert(aSegment.from());
+    mOwnedBy[aSegment.holder()].insert(aSegment.from());
   }
   if (aSegment.held_back()) {
-    mHeldBack.insert(aSegment.from());
+    mRevoked.insert(aSegment.from());
   }
 }
 
-HolderIndex::Segments::iterator
-HolderIndex::Remove(Segments::iterator aAt)
+OwnerIndex::Segments::iterator
+OwnerIndex::Remove(Segments::iterator aAt)
 {
-  const auto& [from, known] = *aAt;
+  const auto& [from, existing] = *aAt;
   mFree.erase(from);
-  mHeldBack.erase(from);
-  const auto held = mHeldBy.find(known.holder);
-  if (held != mHeldBy.end()) {
+  mRevoked.erase(from);
+  const auto held = mOwnedBy.find(existing.owner);
+  if (held != mOwnedBy.end()) {
     held->second.erase(from);
     if (held->second.empty()) {
-      mHeldBy.erase(held);
+      mOwnedBy.erase(held);
     }
   }
   return mSegments.erase(aAt);
--- /dev/null
+++ b/src/librattandyke/gateway/range_assigner_loads.cpp
@@ -0,0 +1,175 @@
+// Loads and speeds of the instances that hold a service's keys.
+#include "gateway/range_assigner.h"
+
+#include <algorithm>
+
+#include "base/clock.h"
+#include "gateway/key_spans.h"
+
+namespace rattandyke::gateway {
+
+namespace {
+
+/// Bounds of a speed, relative to the mean speed of the service.
+constexpr double kMinSpeed = 0.25;
+constexpr double kMaxSpeed = 2.0;
+/// Least weight of the newest report in an instance's mean response time. A
+/// report is a mean of about seven responses, and comes up to five times a
+/// second. Taken alone, it makes a speed look up to 30% higher or lower by
+/// chance, and shares of keys would change with it.
+constexpr double kMinReportWeight = 0.06;
+/// The service's mean response time counts as this many reports beside an
+/// instance's own. After a second, the instance's own reports outweigh it.
+constexpr double kPriorReports = 4;
+/// Response time that is assumed until an instance of the service has reported
+/// one.
+constexpr double kDefaultLatencySeconds = 0.1;
+/// Factor by which the response times of a cold instance are assumed to be
+/// longer, so that it gets fewer keys.
+constexpr double kColdLatencyFactor = 2;
+/// Time for which computed loads stay valid, per instance in the state.
+constexpr std::chrono::microseconds kLoadsValidPerInstance{ 20 };
+
+} // namespace
+
+/// Computing the loads takes a pass over all instances and segments. While a
+/// fleet of thousands registers or moves its keys, each heartbeat finds a
+/// different state. If the loads were computed for each heartbeat, the leader
+/// would be so busy that it is deposed, its successors too, and no keys would
+/// be granted. So the loads of a large service are reused for a few
+/// milliseconds; those of a small service are computed for each state.
+const RangeAssigner::OwnerLoads&
+RangeAssigner::OwnerLoadsOf(const std::string& aService,
+                            const State& aState,
+                            Instant aNow)
+{
+  ServicePlan& plan = mPlans[aService];
+  const bool changed = plan.loadsStale || plan.loadsIndex != aState.Applied();
+  const bool due =
+    !plan.loadsIndex ||
+    aNow - plan.loadsComputedAt >=
+      kLoadsValidPerInstance * static_cast<int64_t>(aState.Instances().size());
+  if (changed && due) {
+    plan.ownerLoads = ComputeOwnerLoads(aService, aState, aNow);
+    plan.totalSpeed = 0;
+    for (const auto& [id, owner] : plan.ownerLoads) {
+      plan.totalSpeed += owner.speed;
+    }
+    plan.loadsIndex = aState.Applied();
+    plan.loadsStale = false;
+    plan.loadsComputedAt = aNow;
+    ++mLoadComputations;
+  }
+  return plan.ownerLoads;
+}
+
+/// After a change of leader or of an upstream, few response times have been
+/// reported, and a single one may be off by its own length. If the speed were
+/// derived from it alone, an owner would look too slow or too fast for its
+/// keys; keys would be moved, and their requests refused during the move. So
+/// the weight of an instance's mean grows with its number of reports, and the
+/// service's mean has the rest of the weight.
+RangeAssigner::OwnerLoads
+RangeAssigner::SpeedsOf(const std::string& aService,
+                        const State& aState,
+                        Instant aNow) const
+{
+  OwnerLoads ownerLoads;
+  std::vector<std::pair<OwnerLoad*, const InstanceStatus*>> instances;
+  std::vector<uint32_t> slots;
+  double sum = 0;
+  size_t reportingInstances = 0;
+  for (const auto& [id, instance] : aState.Instances()) {
+    if (instance.service() != aService) {
+      continue;
+    }
+    const auto status = mStatuses.find(id);
+    if (status == mStatuses.end() ||
+        !IsActive(instance, status->second, aState, aNow)) {
+      continue;
+    }
+    const auto added =
+      ownerLoads.emplace_hint(ownerLoads.end(), id, OwnerLoad{});
+    instances.emplace_back(&added->second, &status->second);
+    slots.push_back(std::max(instance.slots(), 1U));
+    if (status->second.latencyReports > 0) {
+      sum += status->second.latencySeconds;
+      ++reportingInstances;
+    }
+  }
+  const double mean = reportingInstances == 0
+                        ? kDefaultLatencySeconds
+                        : sum / static_cast<double>(reportingInstances);
+  double totalSpeed = 0;
+  for (size_t at = 0; at < instances.size(); ++at) {
+    const auto& [owner, status] = instances[at];
+    const double seconds =
+      (status->latencySeconds * status->latencyReports + mean * kPriorReports) /
+      (status->latencyReports + kPriorReports);
+    const bool cold = aNow < status->coldUntil;
+    owner->utilizationPerRequest =
+      (cold ? kColdLatencyFactor : 1) * seconds / slots[at];
+    owner->speed = 1 / owner->utilizationPerRequest;
+    totalSpeed += owner->speed;
+  }
+  // Relative to the mean, and bounded: a slow instance must keep some load, or
+  // a change of its speed would not be noticed.
+  const double average =
+    totalSpeed / static_cast<double>(std::max<size_t>(ownerLoads.size(), 1));
+  for (auto& [id, owner] : ownerLoads) {
+    owner.speed = std::clamp(owner.speed / average, kMinSpeed, kMaxSpeed);
+  }
+  return ownerLoads;
+}
+
+RangeAssigner::OwnerLoads
+RangeAssigner::ComputeOwnerLoads(const std::string& aService,
+                                 const State& aState,
+                                 Instant aNow)
+{
+  OwnerLoads ownerLoads = SpeedsOf(aService, aState, aNow);
+  const RangeTable* ranges = aState.Ranges(aService);
+  const auto plan = mPlans.find(aService);
+  if (ranges == nullptr || plan == mPlans.end()) {
+    return ownerLoads;
+  }
+  const auto add = [&](const std::string& aId, KeySpan aKeys) {
+    const auto found = ownerLoads.find(aId);
+    if (found == ownerLoads.end()) {
+      return;
+    }
+    found->second.load += plan->second.load.Of(aKeys);
+    found->second.utilization +=
+      plan->second.load.Rate(aKeys) * found->second.utilizationPerRequest;
+  };
+  for (const wire::RangeSegment& segment : ranges->Segments()) {
+    if (!segment.held_back()) {
+      add(segment.holder(), SpanOf(segment));
+    }
+  }
+  return ownerLoads;
+}
+
+double
+RangeAssigner::BalancedLoad(const ServicePlan& aPlan)
+{
+  return aPlan.load.Total() / std::max(aPlan.totalSpeed, kMinSpeed);
+}
+
+void
+RangeAssigner::RecordLatency(const std::string& aInstance, double aSeconds)
+{
+  if (aSeconds <= 0) {
+    return;
+  }
+  const auto status = mStatuses.find(aInstance);
+  if (status == mStatuses.end()) {
+    return; // A late report of an instance that has ended.
+  }
+  double& reports = status->second.latencyReports;
+  double& seconds = status->second.latencySeconds;
+  reports = std::min(reports + 1, 1 / kMinReportWeight);
+  seconds += (aSeconds - seconds) / reports;
+}
+
+} // namespace rattandyke::gateway
--- a/src/librattandyke/gateway/range_table.cpp
+++ b/src/librattandyke/gateway/range_table.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-/// Who follows a table asks more often than this many changes are made.
-constexpr size_t kChangesKept = 256;
+/// An OwnerIndex is updated more often than once in this many changes.
+constexpr size_t kMaxRecordedChanges = 256;
 
 bool
-AreAlike(const wire::RangeSegment& aOne, const wire::RangeSegment& aOther)
+CanMerge(const wire::RangeSegment& aOne, const wire::RangeSegment& aOther)
 {
   if (aOne.holder() != aOther.holder()) {
     return false;
@@ -24,7 +24,7 @@
 }
 
 bool
-IsProper(const wire::KeyRange& aRange)
+IsValid(const wire::KeyRange& aRange)
 {
   return aRange.from() <= aRange.to() && aRange.to() <= kMaxKey;
 }
@@ -55,7 +55,7 @@
 }
 
 bool
-RangeTable::IsUntouched() const
+RangeTable::WasNeverGranted() const
 {
   return mSegments.size() == 1 && mSegments.front().fence() == 0;
 }
@@ -86,7 +86,7 @@
   for (size_t at = first + 1; at <= last; ++at) {
     wire::RangeSegment& segment = mSegments[at];
     wire::RangeSegment& before = mSegments[kept];
-    if (AreAlike(before, segment)) {
+    if (CanMerge(before, segment)) {
       before.set_to(segment.to());
       before.set_fence(std::max(before.fence(), segment.fence()));
       before.set_sequence(std::max(before.sequence(), segment.sequence()));
@@ -99,7 +99,7 @@
                   begin + static_cast<ptrdiff_t>(last) + 1);
   ++mVersion;
   mChanges.push_back({ aRange.from(), aRange.to() });
-  if (mChanges.size() > kChangesKept) {
+  if (mChanges.size() > kMaxRecordedChanges) {
     mChanges.pop_front();
   }
 }
@@ -119,14 +119,14 @@
 RangeTable::Grant(const wire::GrantRanges& aGrant, uint64_t aFence)
 {
   for (const wire::KeyRange& range : aGrant.ranges()) {
-    if (!IsProper(range)) {
-      return Fail(Code::InvalidRecord, "A grant has keys out of bounds.");
+    if (!IsValid(range)) {
+      return Fail(Code::InvalidRecord, "The grant has an invalid key range.");
     }
     for (size_t at = IndexOf(range.from());
          at < mSegments.size() && mSegments[at].from() <= range.to();
          ++at) {
       if (!mSegments[at].holder().empty()) {
-        return Fail(Code::RevisionConflict, "A key to grant has a holder.");
+        return Fail(Code::RevisionConflict, "A key of the grant has an owner.");
       }
     }
   }
@@ -145,14 +145,14 @@
   return {};
 }
 
-/// Changes the segments of a range that one instance holds.
+/// Applies a change to the segments of a range that one instance owns.
 template<typename Change>
 void
-RangeTable::ChangeHeld(const wire::KeyRange& aRange,
-                       const std::string& aHolder,
-                       Change aChange)
+RangeTable::UpdateOwned(const wire::KeyRange& aRange,
+                        const std::string& aOwner,
+                        Change aChange)
 {
-  if (!IsProper(aRange)) {
+  if (!IsValid(aRange)) {
     return;
   }
   SplitBefore(aRange.from());
@@ -160,7 +160,7 @@
   for (size_t at = IndexOf(aRange.from());
        at < mSegments.size() && mSegments[at].from() <= aRange.to();
        ++at) {
-    if (mSegments[at].holder() == aHolder) {
+    if (mSegments[at].holder() == aOwner) {
       aChange(mSegments[at]);
     }
   }
@@ -168,10 +168,10 @@
 }
 
 void
-RangeTable::HoldBack(const wire::HoldBackRanges& aCommand)
+RangeTable::Revoke(const wire::HoldBackRanges& aCommand)
 {
   for (const wire::KeyRange& range : aCommand.ranges()) {
-    ChangeHeld(range, aCommand.holder(), [](wire::RangeSegment& aSegment) {
+    UpdateOwned(range, aCommand.holder(), [](wire::RangeSegment& aSegment) {
       aSegment.set_held_back(true);
     });
   }
@@ -181,7 +181,7 @@
 RangeTable::Free(const wire::FreeRanges& aFree)
 {
   for (const wire::KeyRange& range : aFree.ranges()) {
-    ChangeHeld(range, aFree.holder(), [&](wire::RangeSegment& aSegment) {
+    UpdateOwned(range, aFree.holder(), [&](wire::RangeSegment& aSegment) {
       aSegment.clear_holder();
       aSegment.clear_held_back();
       aSegment.set_handover(range.handover());
@@ -190,12 +190,12 @@
 }
 
 void
-RangeTable::FreeAllOf(const std::string& aHolder)
+RangeTable::FreeAllOf(const std::string& aOwner)
 {
   wire::FreeRanges free;
-  free.set_holder(aHolder);
+  free.set_holder(aOwner);
   for (const wire::RangeSegment& segment : mSegments) {
-    if (segment.holder() == aHolder) {
+    if (segment.holder() == aOwner) {
       wire::KeyRange* range = free.add_ranges();
       range->set_from(segment.from());
       range->set_to(segment.to());
--- a/src/librattandyke/gateway/range_table.h
+++ b/src/librattandyke/gateway/range_table.h
@@ -1,4 +1,4 @@
-/// Owners of one service's keys, by ranges.
+/// Table of the owners of one service's keys.
 #pragma once
 
 #include <cstdint>
@@ -14,11 +14,11 @@
 
 namespace rattandyke::gateway {
 
-/// The key space: numbers from 0 to kMaxKey.
+/// Keys are the integers from 0 to kMaxKey.
 inline constexpr uint32_t kMaxKey = 65535;
 inline constexpr uint32_t kKeyCount = kMaxKey + 1;
 
-/// Keys from `from` to `to`, both included.
+/// Range of keys; both ends are included.
 struct KeySpan
 {
   uint32_t from = 0;
@@ -27,41 +27,45 @@
   uint32_t Size() const { return to - from + 1; }
 };
 
-/// A partition of the key space into segments with one holder or none. Not
-/// thread-safe.
+/// Partition of the key space into segments, each of which has one owner or
+/// none. A segment also has the highest fencing token granted for its keys, the
+/// handover of its last owner, and a mark if it is revoked. Not thread-safe.
 class RangeTable
 {
 public:
   RangeTable();
 
-  /// @return the segment of a key; aKey is at most kMaxKey.
+  /// @return the segment that contains a key.
+  /// @param aKey at most kMaxKey.
   const wire::RangeSegment& Find(uint32_t aKey) const;
 
   const std::vector<wire::RangeSegment>& Segments() const { return mSegments; }
 
-  /// @return whether no key has ever had a holder.
-  bool IsUntouched() const;
+  /// @return whether no key has been granted yet.
+  bool WasNeverGranted() const;
 
-  /// Gives free keys to a holder.
-  /// @param aFence above every fence given before.
-  /// @return Code::RevisionConflict, and nothing is changed, unless all keys
-  /// are free.
+  /// Grants free keys to an owner.
+  /// @param aFence fencing token, higher than those of all earlier grants.
+  /// @return Code::RevisionConflict if a key has an owner, Code::InvalidRecord
+  /// if a range is invalid. On an error the table is unchanged.
   Result<void> Grant(const wire::GrantRanges& aGrant, uint64_t aFence);
 
-  /// Marks keys that their holder is about to release.
-  void HoldBack(const wire::HoldBackRanges& aCommand);
+  /// Marks keys as revoked (`held_back` in the stored state): their owner is
+  /// about to release them. Keys of other owners are unchanged.
+  void Revoke(const wire::HoldBackRanges& aCommand);
 
-  /// Takes keys from a holder; keys that it does not hold stay as they are.
+  /// Frees keys and sets their handovers. Keys of other owners are unchanged.
   void Free(const wire::FreeRanges& aFree);
 
-  /// Takes all keys from a holder that has ended, without a handover.
-  void FreeAllOf(const std::string& aHolder);
+  /// Frees all keys of an owner that has ended, without a handover.
+  void FreeAllOf(const std::string& aOwner);
 
-  /// @return a number that rises with each change.
+  /// @return a version number that rises with each change.
   uint64_t Version() const { return mVersion; }
 
-  /// @return the keys around which segments changed since a version, oldest
-  /// first; nothing if that is not known any more.
+  /// @return the ranges that have changed since a version, oldest first;
+  /// nothing if the table no longer has the changes since then. Segments next
+  /// to a range may have been merged with it.
   std::optional<std::vector<KeySpan>> ChangesSince(uint64_t aVersion) const;
 
   void Save(wire::ServiceRanges& aRanges) const;
@@ -71,16 +75,17 @@
   size_t IndexOf(uint32_t aKey) const;
   void SplitBefore(uint32_t aKey);
   template<typename Change>
-  void ChangeHeld(const wire::KeyRange& aRange,
-                  const std::string& aHolder,
-                  Change aChange);
-  /// Joins segments that are alike in and next to a range: all others are
-  /// joined already, and there are thousands of them.
+  void UpdateOwned(const wire::KeyRange& aRange,
+                   const std::string& aOwner,
+                   Change aChange);
+  /// Merges equal segments within a range and next to it. All other segments
+  /// are merged already, and there are thousands of them. Records the range as
+  /// changed.
   void MergeAround(const wire::KeyRange& aRange);
 
-  /// Sorted; together they cover all keys.
+  /// Sorted by key; together they cover all keys.
   std::vector<wire::RangeSegment> mSegments;
-  /// The newest changes, oldest first.
+  /// Ranges of the most recent changes, oldest first.
   std::deque<KeySpan> mChanges;
   uint64_t mVersion = 0;
 };
--- a/src/librattandyke/gateway/range_table_test.cpp
+++ b/src/librattandyke/gateway/range_table_test.cpp
@@ -7,10 +7,10 @@
 namespace {
 
 wire::GrantRanges
-GrantTo(const std::string& aHolder, uint32_t aFrom, uint32_t aTo)
+MakeGrant(const std::string& aOwner, uint32_t aFrom, uint32_t aTo)
 {
   wire::GrantRanges grant;
-  grant.set_holder(aHolder);
+  grant.set_holder(aOwner);
   wire::KeyRange* range = grant.add_ranges();
   range->set_from(aFrom);
   range->set_to(aTo);
@@ -18,13 +18,13 @@
 }
 
 wire::FreeRanges
-FreeOf(const std::string& aHolder,
-       uint32_t aFrom,
-       uint32_t aTo,
-       const std::string& aHandover = "")
+MakeFree(const std::string& aOwner,
+         uint32_t aFrom,
+         uint32_t aTo,
+         const std::string& aHandover = "")
 {
   wire::FreeRanges free;
-  free.set_holder(aHolder);
+  free.set_holder(aOwner);
   wire::KeyRange* range = free.add_ranges();
   range->set_from(aFrom);
   range->set_to(aTo);
@@ -33,69 +33,69 @@
 }
 
 wire::HoldBackRanges
-HoldBackOf(const std::string& aHolder, uint32_t aFrom, uint32_t aTo)
+MakeRevoke(const std::string& aOwner, uint32_t aFrom, uint32_t aTo)
 {
-  wire::HoldBackRanges held;
-  held.set_holder(aHolder);
-  wire::KeyRange* range = held.add_ranges();
+  wire::HoldBackRanges revoke;
+  revoke.set_holder(aOwner);
+  wire::KeyRange* range = revoke.add_ranges();
   range->set_from(aFrom);
   range->set_to(aTo);
-  return held;
+  return revoke;
 }
 
-TEST(RangeTable, GrantsFreeKeysOnly)
+TEST(RangeTable, GrantFailsIfAKeyHasAnOwner)
 {
   RangeTable ranges;
-  ASSERT_TRUE(ranges.Grant(GrantTo("a", 0, 99), 5));
-  EXPECT_FALSE(ranges.Grant(GrantTo("b", 99, 200), 6));
+  ASSERT_TRUE(ranges.Grant(MakeGrant("a", 0, 99), 5));
+  EXPECT_FALSE(ranges.Grant(MakeGrant("b", 99, 200), 6));
   EXPECT_EQ(ranges.Find(100).holder(), "");
-  EXPECT_TRUE(ranges.Grant(GrantTo("b", 100, 200), 7));
+  EXPECT_TRUE(ranges.Grant(MakeGrant("b", 100, 200), 7));
   EXPECT_EQ(ranges.Find(99).fence(), 5U);
   EXPECT_EQ(ranges.Find(100).fence(), 7U);
 }
 
-TEST(RangeTable, FreeTakesOnlyWhatTheHolderHas)
+TEST(RangeTable, FreeChangesOnlyKeysOfTheOwner)
 {
   RangeTable ranges;
-  ASSERT_TRUE(ranges.Grant(GrantTo("a", 0, 99), 5));
-  ASSERT_TRUE(ranges.Grant(GrantTo("b", 100, 199), 6));
-  ranges.Free(FreeOf("a", 50, 150, "h"));
+  ASSERT_TRUE(ranges.Grant(MakeGrant("a", 0, 99), 5));
+  ASSERT_TRUE(ranges.Grant(MakeGrant("b", 100, 199), 6));
+  ranges.Free(MakeFree("a", 50, 150, "h"));
   EXPECT_EQ(ranges.Find(49).holder(), "a");
   EXPECT_EQ(ranges.Find(50).holder(), "");
   EXPECT_EQ(ranges.Find(50).handover(), "h");
   EXPECT_EQ(ranges.Find(100).holder(), "b");
 }
 
-// A busy holder is to give up a part of its keys. The mark on that part decides
-// which keys its answers leave out. Segments that differ in the mark alone must
-// not be merged: the mark would be lost, the keys stay where they are, and
-// entries would hold their requests back for nothing.
-TEST(RangeTable, MarkOfKeysHeldBackSurvivesMerging)
+// An overloaded owner must release a part of its keys, and its answers leave
+// out the marked keys. If segments that differ only in the mark were merged,
+// the mark would be lost: the keys would stay, and entry hosts would delay
+// their requests needlessly.
+TEST(RangeTable, RevokedMarkSurvivesMerging)
 {
   RangeTable ranges;
-  ASSERT_TRUE(ranges.Grant(GrantTo("a", 0, 99), 5));
-  ranges.HoldBack(HoldBackOf("a", 40, 59));
+  ASSERT_TRUE(ranges.Grant(MakeGrant("a", 0, 99), 5));
+  ranges.Revoke(MakeRevoke("a", 40, 59));
   EXPECT_FALSE(ranges.Find(39).held_back());
   EXPECT_TRUE(ranges.Find(40).held_back());
   EXPECT_TRUE(ranges.Find(59).held_back());
   EXPECT_FALSE(ranges.Find(60).held_back());
-  ranges.Free(FreeOf("a", 40, 59, "h"));
+  ranges.Free(MakeFree("a", 40, 59, "h"));
   EXPECT_FALSE(ranges.Find(50).held_back());
-  ASSERT_TRUE(ranges.Grant(GrantTo("b", 40, 59), 8));
+  ASSERT_TRUE(ranges.Grant(MakeGrant("b", 40, 59), 8));
   EXPECT_FALSE(ranges.Find(50).held_back());
   EXPECT_EQ(ranges.Find(50).handover(), "h");
 }
 
-TEST(RangeTable, OthersKeysAreNotHeldBack)
+TEST(RangeTable, RevokeChangesOnlyKeysOfTheOwner)
 {
   RangeTable ranges;
-  ASSERT_TRUE(ranges.Grant(GrantTo("a", 0, 99), 5));
-  ranges.HoldBack(HoldBackOf("b", 0, 99));
+  ASSERT_TRUE(ranges.Grant(MakeGrant("a", 0, 99), 5));
+  ranges.Revoke(MakeRevoke("b", 0, 99));
   EXPECT_FALSE(ranges.Find(0).held_back());
 }
 
-// Whatever is granted, held back and freed, in any order: the segments cover
-// each key once, and the fence of a key never falls.
+// After any sequence of grants, revocations and releases the segments cover
+// each key exactly once, and the fence of a key never falls.
 RC_GTEST_PROP(RangeTable, SegmentsPartitionTheKeys, ())
 {
   RangeTable ranges;
@@ -106,16 +106,16 @@
     const uint32_t from = *rc::gen::inRange<uint32_t>(0, kKeyCount);
     const uint32_t to =
       std::min(kMaxKey, from + *rc::gen::inRange<uint32_t>(0, 9000));
-    const std::string holder(1, *rc::gen::elementOf(std::string("abc")));
+    const std::string owner(1, *rc::gen::elementOf(std::string("abc")));
     switch (*rc::gen::inRange(0, 3)) {
       case 0:
-        static_cast<void>(ranges.Grant(GrantTo(holder, from, to), ++fence));
+        static_cast<void>(ranges.Grant(MakeGrant(owner, from, to), ++fence));
         break;
       case 1:
-        ranges.Free(FreeOf(holder, from, to, "h"));
+        ranges.Free(MakeFree(owner, from, to, "h"));
         break;
       default:
-        ranges.HoldBack(HoldBackOf(holder, from, to));
+        ranges.Revoke(MakeRevoke(owner, from, to));
         break;
     }
     uint32_t next = 0;
@@ -132,9 +132,9 @@
   }
 }
 
-// Neighbours that are alike are joined wherever changes strike: with thousands
-// of pieces left over, every change and every whole state would cost more.
-RC_GTEST_PROP(RangeTable, NeighboursAreNeverAlike, ())
+// Equal adjacent segments are merged by every change. Thousands of unmerged
+// segments would make every change and every snapshot more expensive.
+RC_GTEST_PROP(RangeTable, AdjacentSegmentsAreNeverEqual, ())
 {
   RangeTable table;
   uint64_t fence = 0;
@@ -143,17 +143,17 @@
   for (const int step : steps) {
     const uint32_t from = static_cast<uint32_t>(step / 10 * 65);
     const uint32_t to = std::min(from + 400U, kMaxKey);
-    const std::string holder = step % 2 == 0 ? "a" : "b";
+    const std::string owner = step % 2 == 0 ? "a" : "b";
     switch (step % 5) {
       case 0:
       case 1:
-        static_cast<void>(table.Grant(GrantTo(holder, from, to), ++fence));
+        static_cast<void>(table.Grant(MakeGrant(owner, from, to), ++fence));
         break;
       case 2:
-        table.HoldBack(HoldBackOf(holder, from, to));
+        table.Revoke(MakeRevoke(owner, from, to));
         break;
       default:
-        table.Free(FreeOf(holder, from, to));
+        table.Free(MakeFree(owner, from, to));
         break;
     }
     const auto& segments = table.Segments();
