--- a/src/bench/items_bench.cpp
+++ b/src/bench/items_bench.cpp
@@ -4,7 +4,7 @@
 
 #include "allocation/allocation_counter.h"
 #include "bench/bench.h"
-#include "gateway/packed_frame.h"
+#include "gateway/outgoing_frame.h"
 #include "gateway/route_table.h"
 #include "gateway/state.h"
 #include "testing/large_change.h"
@@ -44,7 +44,8 @@
   *frame.mutable_feed_command()->mutable_command()->mutable_change_items() =
     aChange;
   gateway::OutgoingFrame outgoing(frame);
-  return static_cast<double>(outgoing.Packed().size()) / aChange.routes_size();
+  return static_cast<double>(outgoing.Compressed().size()) /
+         aChange.routes_size();
 }
 
 double
--- a/src/librattandyke/gateway/caller_connection.cpp
+++ b/src/librattandyke/gateway/caller_connection.cpp
@@ -166,7 +166,7 @@
 ///
 /// A caller that only closes its sending side looks the same as one that is
 /// gone, and most of those that do are gone: the work ends for both. The answer
-/// that says so is written all the same, see CallerFront.
+/// that says so is written all the same, see CallerServer.
 void
 CallerConnection::OnReadable()
 {
@@ -175,7 +175,7 @@
     AwaitReadable();
   } else if (said) { // No error: the next request. Its caller is here.
     NoteError(said);
-    mWatched->CallerLeft();
+    mWatched->OnCallerDisconnected();
   }
 }
 
@@ -212,10 +212,10 @@
 }
 
 void
-CallerConnection::LastCall()
+CallerConnection::ExpireRequests()
 {
   if (mWatched) {
-    mWatched->HostEnds();
+    mWatched->OnHostShutdown();
   }
   if (mPhase == Phase::Reading) {
     mGivenTime = true;
--- a/src/librattandyke/gateway/caller_connection_test.cpp
+++ b/src/librattandyke/gateway/caller_connection_test.cpp
@@ -265,11 +265,11 @@
   Send("2");
   context.poll();
   ASSERT_EQ(got, 1);
-  EXPECT_FALSE(request->HasLeft());
+  EXPECT_FALSE(request->HasCallerDisconnected());
   caller.close();
   context.restart();
   context.poll();
-  EXPECT_TRUE(request->HasLeft()) << "it is watched on";
+  EXPECT_TRUE(request->HasCallerDisconnected()) << "it is watched on";
 }
 
 TEST_F(CallerConnectionTest, CallerThatClosesIsNoticed)
@@ -277,11 +277,11 @@
   const auto request = std::make_shared<RequestContext>(context.get_executor());
   connection->Watch(request);
   context.poll();
-  EXPECT_FALSE(request->HasLeft());
+  EXPECT_FALSE(request->HasCallerDisconnected());
   caller.close();
   context.restart();
   context.poll();
-  EXPECT_TRUE(request->HasLeft());
+  EXPECT_TRUE(request->HasCallerDisconnected());
 }
 
 TEST_F(CallerConnectionTest, CallerWhoseConnectionIsResetIsNoticed)
@@ -291,7 +291,7 @@
   caller.set_option(asio::socket_base::linger(true, 0));
   caller.close();
   context.poll();
-  EXPECT_TRUE(request->HasLeft());
+  EXPECT_TRUE(request->HasCallerDisconnected());
 }
 
 TEST_F(CallerConnectionTest, ConnectionWithARequestIsNotIdle)
--- a/src/librattandyke/gateway/caller_service.h
+++ b/src/librattandyke/gateway/caller_request_handler.h
@@ -23,7 +23,7 @@
   Instant arrived{};
 };
 
-struct CallerAnswer
+struct CallerResponse
 {
   unsigned status = 0;
   /// Header lines, each with its line's end.
@@ -42,7 +42,7 @@
 };
 
 /// Why a caller's connection ended.
-enum class ConnectionEnd : uint8_t
+enum class CloseReason : uint8_t
 {
   /// With an answer that said so.
   Answered,
@@ -65,20 +65,20 @@
 };
 
 /// Answers callers' requests. Runs on the executor of their connections.
-class CallerService
+class CallerRequestHandler
 {
 public:
-  virtual ~CallerService() = default;
+  virtual ~CallerRequestHandler() = default;
 
   virtual CallerLimits Limits() const = 0;
 
-  virtual boost::asio::awaitable<CallerAnswer> Handle(
+  virtual boost::asio::awaitable<CallerResponse> Handle(
     std::shared_ptr<RequestContext> aContext,
     CallerRequest aRequest) = 0;
 
   /// An answer made without a request that could be read.
-  virtual CallerAnswer Refuse(unsigned aStatus,
-                              const std::string& aText) const = 0;
+  virtual CallerResponse Refuse(unsigned aStatus,
+                                const std::string& aText) const = 0;
 
   /// @return the request's id, empty if it has none.
   virtual std::string IdOf(const CallerRequest& aRequest) const = 0;
--- a/src/librattandyke/gateway/caller_front.cpp
+++ b/src/librattandyke/gateway/caller_server.cpp
@@ -1,10 +1,10 @@
-#include "gateway/caller_front.h"
+#include "gateway/caller_server.h"
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
 #include <boost/beast/http/error.hpp>
 
-#include "gateway/answer_text.h"
+#include "gateway/serialize_response.h"
 #include "log/log.h"
 #include "net/listen.h"
 
@@ -38,26 +38,26 @@
 constexpr unsigned kBadGateway = 502;
 
 std::string_view
-NameOf(ConnectionEnd aEnd)
+NameOf(CloseReason aEnd)
 {
   switch (aEnd) {
-    case ConnectionEnd::Answered:
+    case CloseReason::Answered:
       return "answered";
-    case ConnectionEnd::Refused:
+    case CloseReason::Refused:
       return "refused";
-    case ConnectionEnd::CallerClosed:
+    case CloseReason::CallerClosed:
       return "caller_closed";
-    case ConnectionEnd::HalfRequest:
+    case CloseReason::HalfRequest:
       return "half_request";
-    case ConnectionEnd::Idle:
+    case CloseReason::Idle:
       return "idle";
-    case ConnectionEnd::Leaving:
+    case CloseReason::Leaving:
       return "leaving";
-    case ConnectionEnd::CallerLeft:
+    case CloseReason::CallerLeft:
       return "caller_left";
-    case ConnectionEnd::WriteFailed:
+    case CloseReason::WriteFailed:
       return "write_failed";
-    case ConnectionEnd::Failed:
+    case CloseReason::Failed:
       break;
   }
   return "failed";
@@ -79,10 +79,10 @@
 
 /// @return whether a request had been read whole when its connection ended.
 bool
-IsUnderARequest(ConnectionEnd aEnd)
+IsUnderARequest(CloseReason aEnd)
 {
-  return aEnd == ConnectionEnd::CallerLeft ||
-         aEnd == ConnectionEnd::WriteFailed || aEnd == ConnectionEnd::Failed;
+  return aEnd == CloseReason::CallerLeft || aEnd == CloseReason::WriteFailed ||
+         aEnd == CloseReason::Failed;
 }
 
 /// @return the status that refuses what could not be read, 0 if there is
@@ -105,9 +105,9 @@
 
 } // namespace
 
-CallerFront::CallerFront(const asio::any_io_executor& aExecutor,
-                         CallerService& aService,
-                         const Clock& aClock)
+CallerServer::CallerServer(const asio::any_io_executor& aExecutor,
+                           CallerRequestHandler& aService,
+                           const Clock& aClock)
   : mExecutor(aExecutor)
   , mService(aService)
   , mClock(aClock)
@@ -117,7 +117,7 @@
 }
 
 Result<Endpoint>
-CallerFront::Start(const Endpoint& aListen, const Owner& aOwner)
+CallerServer::Start(const Endpoint& aListen, const Owner& aOwner)
 {
   auto open = net::Listen(mAcceptor, aListen, "callers");
   if (open) {
@@ -131,7 +131,7 @@
 /// again without a pause they would take the core from the requests that are
 /// here. The sweep tries again; callers wait in the listener's queue.
 void
-CallerFront::Accept(Owner aOwner)
+CallerServer::Accept(Owner aOwner)
 {
   mAccepting = true;
   mAcceptor.async_accept(
@@ -156,7 +156,7 @@
 /// closes. Callers whose connection stood, and whose request may be sent, would
 /// get no answer.
 void
-CallerFront::AcceptQueued()
+CallerServer::AcceptQueued()
 {
   const Owner owner = mOwner.lock();
   ErrorCode error;
@@ -170,7 +170,7 @@
 }
 
 void
-CallerFront::Take(tcp::socket aSocket, Owner aOwner)
+CallerServer::Take(tcp::socket aSocket, Owner aOwner)
 {
   auto connection =
     std::make_shared<CallerConnection>(std::move(aSocket), mClock);
@@ -180,7 +180,7 @@
 }
 
 asio::awaitable<void>
-CallerFront::Serve(CallerFront* aSelf, Connection aConnection, Owner aOwner)
+CallerServer::Serve(CallerServer* aSelf, Connection aConnection, Owner aOwner)
 {
   End end;
   std::string fault;
@@ -189,7 +189,7 @@
       end = co_await aSelf->ServeOne(aConnection);
     } catch (const std::exception& exception) {
       fault = exception.what();
-      end = Ended{ ConnectionEnd::Failed };
+      end = Ended{ CloseReason::Failed };
     }
   }
   if (!fault.empty()) {
@@ -202,8 +202,8 @@
   aSelf->mOpen.erase(aConnection);
 }
 
-asio::awaitable<CallerFront::End>
-CallerFront::ServeOne(Connection aConnection)
+asio::awaitable<CallerServer::End>
+CallerServer::ServeOne(Connection aConnection)
 {
   const CallerLimits limits = mService.Limits();
   CallerConnection::Parser parser;
@@ -217,9 +217,9 @@
   co_return co_await ServeRequest(aConnection, parser);
 }
 
-asio::awaitable<CallerFront::End>
-CallerFront::ServeRequest(Connection aConnection,
-                          CallerConnection::Parser& aParser)
+asio::awaitable<CallerServer::End>
+CallerServer::ServeRequest(Connection aConnection,
+                           CallerConnection::Parser& aParser)
 {
   const bool keep = aParser.get().keep_alive();
   CallerRequest request = RequestOf(aParser, mClock.Now());
@@ -229,16 +229,16 @@
   auto context = std::make_shared<RequestContext>(mExecutor);
   aConnection->Watch(context);
   if (mLastCalled) { // It came after the call to those that were here.
-    context->HostEnds();
+    context->OnHostShutdown();
   }
-  Ended end{ ConnectionEnd::Answered, id };
-  const CallerAnswer answer =
+  Ended end{ CloseReason::Answered, id };
+  const CallerResponse answer =
     co_await AnswerOf(context, std::move(request), end.reason);
   aConnection->Unwatch();
-  if (context->HasLeft()) {
-    end.reason = ConnectionEnd::CallerLeft;
+  if (context->HasCallerDisconnected()) {
+    end.reason = CloseReason::CallerLeft;
   }
-  const bool keepOpen = end.reason == ConnectionEnd::Answered && keep &&
+  const bool keepOpen = end.reason == CloseReason::Answered && keep &&
                         !mStopping && !aConnection->IsEnding();
   // Also to a caller that seems to have left: one that has only closed its
   // sending side reads it, and nobody has to trust our belief that it is gone.
@@ -247,8 +247,8 @@
     AnswerText(answer, keepOpen ? std::optional(kept) : std::nullopt, head);
   const bool written = co_await aConnection->Write(text);
   end.worked = mClock.Now() - arrived;
-  if (!written && end.reason == ConnectionEnd::Answered) {
-    end.reason = ConnectionEnd::WriteFailed;
+  if (!written && end.reason == CloseReason::Answered) {
+    end.reason = CloseReason::WriteFailed;
   }
   if (written && keepOpen) {
     co_return std::nullopt;
@@ -258,10 +258,10 @@
 
 /// Safeguard: an exception would end the work on a request together with the
 /// one who answers it. The connection would stay, and its caller wait.
-asio::awaitable<CallerAnswer>
-CallerFront::AnswerOf(std::shared_ptr<RequestContext> aContext,
-                      CallerRequest aRequest,
-                      ConnectionEnd& aEnd)
+asio::awaitable<CallerResponse>
+CallerServer::AnswerOf(std::shared_ptr<RequestContext> aContext,
+                       CallerRequest aRequest,
+                       CloseReason& aEnd)
 {
   std::string fault;
   try {
@@ -272,19 +272,21 @@
   }
   log::Line(log::Part::Entry, log::Severity::Error)
     << "the work on a request failed: " << fault;
-  aEnd = ConnectionEnd::Failed;
+  aEnd = CloseReason::Failed;
   co_return mService.Refuse(kBadGateway, "the gateway failed");
 }
 
-asio::awaitable<CallerFront::Ended>
-CallerFront::RefuseUnread(Connection aConnection, ErrorCode aError, bool aBegun)
+asio::awaitable<CallerServer::Ended>
+CallerServer::RefuseUnread(Connection aConnection,
+                           ErrorCode aError,
+                           bool aBegun)
 {
   const unsigned status = RefusalOf(aError);
   if (status != 0) {
     const std::string text =
       AnswerText(mService.Refuse(status, aError.message()), {}, false);
     co_await aConnection->Write(text);
-    co_return Ended{ ConnectionEnd::Refused };
+    co_return Ended{ CloseReason::Refused };
   }
   const bool cut = aError == asio::error::operation_aborted;
   if (aBegun && cut) {
@@ -296,21 +298,21 @@
     co_await aConnection->Write(text);
   }
   if (aBegun) {
-    co_return Ended{ ConnectionEnd::HalfRequest };
+    co_return Ended{ CloseReason::HalfRequest };
   }
   if (!cut) {
-    co_return Ended{ ConnectionEnd::CallerClosed };
+    co_return Ended{ CloseReason::CallerClosed };
   }
-  co_return Ended{ mStopping ? ConnectionEnd::Leaving : ConnectionEnd::Idle };
+  co_return Ended{ mStopping ? CloseReason::Leaving : CloseReason::Idle };
 }
 
 asio::awaitable<void>
-CallerFront::AwaitTaken(Connection aConnection, ConnectionEnd aEnd)
+CallerServer::AwaitTaken(Connection aConnection, CloseReason aEnd)
 {
   const bool answered =
-    aEnd == ConnectionEnd::Answered || aEnd == ConnectionEnd::Refused ||
-    aEnd == ConnectionEnd::HalfRequest || aEnd == ConnectionEnd::CallerLeft ||
-    aEnd == ConnectionEnd::Failed;
+    aEnd == CloseReason::Answered || aEnd == CloseReason::Refused ||
+    aEnd == CloseReason::HalfRequest || aEnd == CloseReason::CallerLeft ||
+    aEnd == CloseReason::Failed;
   if (answered && mLingering < kMostLingering) {
     ++mLingering;
     co_await aConnection->Linger();
@@ -321,7 +323,7 @@
 /// Each connection's end is counted. A line is written of one that ended under
 /// a request, which is what a caller reports.
 void
-CallerFront::Tell(const CallerConnection& aConnection, const Ended& aEnd)
+CallerServer::Tell(const CallerConnection& aConnection, const Ended& aEnd)
 {
   mService.CountEnd(NameOf(aEnd.reason));
   if (!IsUnderARequest(aEnd.reason)) {
@@ -338,7 +340,7 @@
 }
 
 void
-CallerFront::Sweep(Instant aNow)
+CallerServer::Sweep(Instant aNow)
 {
   if (!mAccepting && mAcceptor.is_open()) {
     Accept(mOwner.lock());
@@ -351,7 +353,7 @@
 }
 
 void
-CallerFront::Close()
+CallerServer::Close()
 {
   if (mAcceptor.is_open()) {
     AcceptQueued();
@@ -367,11 +369,11 @@
 }
 
 void
-CallerFront::LastCall()
+CallerServer::ExpireRequests()
 {
   mLastCalled = true;
   for (const Connection& connection : mOpen) {
-    connection->LastCall();
+    connection->ExpireRequests();
   }
 }
 
--- a/src/librattandyke/gateway/caller_front.h
+++ b/src/librattandyke/gateway/caller_server.h
@@ -13,7 +13,7 @@
 
 #include "base/clock.h"
 #include "gateway/caller_connection.h"
-#include "gateway/caller_service.h"
+#include "gateway/caller_request_handler.h"
 #include "log/rate_bound.h"
 
 namespace rattandyke::gateway {
@@ -21,13 +21,13 @@
 /// Accepts callers' connections, has their requests answered, and is the one
 /// place that ends a connection: it says why. Runs on one executor that runs
 /// one handler at a time.
-class CallerFront
+class CallerServer
 {
 public:
   /// @param aService and @param aClock outlive this object.
-  CallerFront(const boost::asio::any_io_executor& aExecutor,
-              CallerService& aService,
-              const Clock& aClock);
+  CallerServer(const boost::asio::any_io_executor& aExecutor,
+               CallerRequestHandler& aService,
+               const Clock& aClock);
 
   /// @param aOwner kept alive, and with it this object, while callers are
   ///               accepted and served.
@@ -48,7 +48,7 @@
 
   /// The host is about to end: each request gets an answer now. Called again
   /// and again.
-  void LastCall();
+  void ExpireRequests();
 
   /// @return whether no connection is left, and none can come.
   bool IsClosed() const
@@ -63,7 +63,7 @@
   /// A connection's end.
   struct Ended
   {
-    ConnectionEnd reason{};
+    CloseReason reason{};
     /// Of the request under which it ended.
     std::string id{};
     Duration worked{};
@@ -75,26 +75,26 @@
   void Accept(Owner aOwner);
   void AcceptQueued();
   void Take(boost::asio::ip::tcp::socket aSocket, Owner aOwner);
-  static boost::asio::awaitable<void> Serve(CallerFront* aSelf,
+  static boost::asio::awaitable<void> Serve(CallerServer* aSelf,
                                             Connection aConnection,
                                             Owner aOwner);
   boost::asio::awaitable<End> ServeOne(Connection aConnection);
   boost::asio::awaitable<End> ServeRequest(Connection aConnection,
                                            CallerConnection::Parser& aParser);
-  boost::asio::awaitable<CallerAnswer> AnswerOf(
+  boost::asio::awaitable<CallerResponse> AnswerOf(
     std::shared_ptr<RequestContext> aContext,
     CallerRequest aRequest,
-    ConnectionEnd& aEnd);
+    CloseReason& aEnd);
   boost::asio::awaitable<Ended> RefuseUnread(Connection aConnection,
                                              CallerConnection::ErrorCode aError,
                                              bool aBegun);
   /// Waits for a caller to take its last answer.
   boost::asio::awaitable<void> AwaitTaken(Connection aConnection,
-                                          ConnectionEnd aEnd);
+                                          CloseReason aEnd);
   void Tell(const CallerConnection& aConnection, const Ended& aEnd);
 
   const boost::asio::any_io_executor mExecutor;
-  CallerService& mService;
+  CallerRequestHandler& mService;
   const Clock& mClock;
   boost::asio::ip::tcp::acceptor mAcceptor;
   std::set<Connection> mOpen;
--- a/src/librattandyke/gateway/caller_front_test.cpp
+++ b/src/librattandyke/gateway/caller_server_test.cpp
@@ -1,4 +1,4 @@
-#include "gateway/caller_front.h"
+#include "gateway/caller_server.h"
 
 #include <array>
 #include <map>
@@ -31,7 +31,7 @@
 using ErrorCode = boost::system::error_code;
 
 /// Keeps requests until it is told to answer them, or until they are over.
-class FakeService final : public CallerService
+class FakeService final : public CallerRequestHandler
 {
 public:
   CallerLimits Limits() const override
@@ -42,29 +42,31 @@
     return limits;
   }
 
-  asio::awaitable<CallerAnswer> Handle(std::shared_ptr<RequestContext> aContext,
-                                       CallerRequest aRequest) override
+  asio::awaitable<CallerResponse> Handle(
+    std::shared_ptr<RequestContext> aContext,
+    CallerRequest aRequest) override
   {
     ++handled;
     if (fails) {
       throw std::runtime_error("a fault");
     }
     current = aContext;
-    while (held && !aContext->IsOver()) {
-      aContext->Wake().expires_at(asio::steady_timer::time_point::max());
-      co_await aContext->Wake().async_wait(http::kAwait);
+    while (held && !aContext->IsCancelled()) {
+      aContext->WakeTimer().expires_at(asio::steady_timer::time_point::max());
+      co_await aContext->WakeTimer().async_wait(http::kAwait);
     }
-    co_return CallerAnswer{ aContext->IsOver() ? 503U : 200U, "", body };
+    co_return CallerResponse{ aContext->IsCancelled() ? 503U : 200U, "", body };
   }
 
   /// Lets the last request be answered.
   void Release()
   {
     held = false;
-    current->Wake().cancel();
+    current->WakeTimer().cancel();
   }
 
-  CallerAnswer Refuse(unsigned aStatus, const std::string& aText) const override
+  CallerResponse Refuse(unsigned aStatus,
+                        const std::string& aText) const override
   {
     return { aStatus, "", aText };
   }
@@ -178,7 +180,7 @@
   testing::SteppedClock clock;
   asio::io_context context;
   FakeService service;
-  CallerFront front{ context.get_executor(), service, clock };
+  CallerServer front{ context.get_executor(), service, clock };
   tcp::endpoint address;
 };
 
@@ -436,7 +438,7 @@
   constexpr size_t kMostSteps = 9;
   constexpr size_t kCallers = 3;
   for (size_t steps = 0; steps < kMostSteps; ++steps) {
-    CallerFront other(context.get_executor(), service, clock);
+    CallerServer other(context.get_executor(), service, clock);
     address.port(other.Start({ "127.0.0.1", 0 }, nullptr)->port);
     std::vector<tcp::socket> callers;
     for (size_t i = 0; i < kCallers; ++i) {
--- a/src/librattandyke/gateway/cold_upstream_test.cpp
+++ b/src/librattandyke/gateway/cold_upstream_test.cpp
@@ -82,14 +82,15 @@
         request.key = { 1, ++mTicket };
         request.service = "desk";
         request.instance = keyed ? "a" : "";
-        request.patience = milliseconds{ 300 };
-        request.held = milliseconds{ 1000 };
+        request.maxWait = milliseconds{ 300 };
+        request.maxHold = milliseconds{ 1000 };
         Take(aHome.Ask(request, now));
       }
       while (!mUnderWay.empty() && mUnderWay.front().first <= now) {
         const SlotKey key = mUnderWay.front().second;
         mUnderWay.pop_front();
-        Take(aHome.Done(key, TryEnd::Answered, milliseconds{ 40 }, now));
+        Take(
+          aHome.Done(key, AttemptOutcome::Answered, milliseconds{ 40 }, now));
       }
       Take(aHome.Tick(now));
     }
@@ -181,7 +182,7 @@
   request.instance = "a";
   request.alone = true;
   request.cold = false;
-  request.held = milliseconds{ 500 };
+  request.maxHold = milliseconds{ 500 };
   for (const SlotAnswer& answer : entry.Ask(request, now)) {
     EXPECT_FALSE(std::holds_alternative<SlotGranted>(answer));
   }
--- a/src/librattandyke/gateway/control_host.cpp
+++ b/src/librattandyke/gateway/control_host.cpp
@@ -44,7 +44,7 @@
   , dialect(aDialect)
   , clock(aClock)
   , seed(aSeed)
-  , self{ ToString(aSettings.Self()) }
+  , self{ ToString(aSettings.AdvertisedAddress()) }
   , rangeAssigner({ aSettings.hold, aSettings.heartbeatInterval, kForgetAfter })
   , feed(state)
   , ticker(executor)
@@ -81,21 +81,21 @@
     return started;
   }
   calls =
-    std::make_unique<CallServer>(executor,
+    std::make_unique<HttpServer>(executor,
                                  *settings.calls,
-                                 settings.MostCalls(),
-                                 [self = weak_from_this()](CallRequest aCall) {
+                                 settings.MaxCallConnections(),
+                                 [self = weak_from_this()](HttpRequest aCall) {
                                    return HandleWeak(self, std::move(aCall));
                                  });
   if (Result<void> started = calls->Start(); !started) {
     return started;
   }
   if (settings.metrics) {
-    metricsServer = std::make_unique<CallServer>(
+    metricsServer = std::make_unique<HttpServer>(
       executor,
       *settings.metrics,
-      settings.MostCalls(),
-      [self = weak_from_this()](CallRequest aCall) {
+      settings.MaxCallConnections(),
+      [self = weak_from_this()](HttpRequest aCall) {
         return AnswerMetrics(self, std::move(aCall));
       });
     if (Result<void> started = metricsServer->Start(); !started) {
@@ -128,7 +128,7 @@
 {
   consensus::Driver::Options options;
   options.name = self;
-  options.address = settings.Self();
+  options.address = settings.AdvertisedAddress();
   options.dataFolder = settings.dataFolder;
   for (const Endpoint& host : settings.seeds) {
     options.controlHosts.push_back({ HostName{ ToString(host) }, host });
--- a/src/librattandyke/gateway/control_host_calls.cpp
+++ b/src/librattandyke/gateway/control_host_calls.cpp
@@ -74,23 +74,23 @@
 
 } // namespace
 
-asio::awaitable<CallAnswer>
-ControlHost::Impl::HandleWeak(std::weak_ptr<Impl> aSelf, CallRequest aCall)
+asio::awaitable<HttpResponse>
+ControlHost::Impl::HandleWeak(std::weak_ptr<Impl> aSelf, HttpRequest aCall)
 {
   const auto self = aSelf.lock();
   if (!self) {
-    co_return CallAnswer{ kUnavailable, "", "application/json" };
+    co_return HttpResponse{ kUnavailable, "", "application/json" };
   }
   const Instant arrived = self->clock.Now();
-  CallAnswer answer = co_await self->Handle(std::move(aCall));
-  self->metrics.Count("calls",
-                      "status=\"" + std::to_string(answer.status) + "\"");
+  HttpResponse answer = co_await self->Handle(std::move(aCall));
+  self->metrics.Increment("calls",
+                          "status=\"" + std::to_string(answer.status) + "\"");
   self->metrics.Observe("call", self->clock.Now() - arrived);
   co_return answer;
 }
 
-asio::awaitable<CallAnswer>
-ControlHost::Impl::Handle(CallRequest aCall)
+asio::awaitable<HttpResponse>
+ControlHost::Impl::Handle(HttpRequest aCall)
 {
   if (driver->IsLeader()) {
     co_return co_await HandleAsLeader(aCall);
@@ -101,14 +101,14 @@
   }
   if (dialect.IsHeartbeat(aCall.method, aCall.target)) {
     Result<ControlCall> call =
-      dialect.Decode(aCall.method, aCall.target, aCall.body);
+      dialect.DecodeCall(aCall.method, aCall.target, aCall.body);
     if (!call) {
       co_return Unread(aCall, call.error());
     }
     co_return co_await ForwardHeartbeat(*leader, std::get<Heartbeat>(*call));
   }
   const uint64_t id = ++lastCall;
-  auto awaited = std::make_shared<Awaited<CallAnswer>>(executor);
+  auto awaited = std::make_shared<Awaited<HttpResponse>>(executor);
   forwarded[id] = awaited;
   wire::GatewayFrame frame;
   wire::ForwardedCall* call = frame.mutable_forwarded_call();
@@ -134,9 +134,9 @@
 ControlHost::Impl::AnswerForwarded(std::shared_ptr<Impl> aSelf,
                                    wire::ForwardedCall aCall)
 {
-  CallAnswer answer = aSelf->Unavailable("This host does not lead.");
+  HttpResponse answer = aSelf->Unavailable("This host does not lead.");
   if (aSelf->driver->IsLeader()) {
-    const CallRequest request{ aCall.method(), aCall.target(), aCall.body() };
+    const HttpRequest request{ aCall.method(), aCall.target(), aCall.body() };
     answer = co_await aSelf->HandleAsLeader(request);
   }
   wire::GatewayFrame frame;
@@ -152,18 +152,18 @@
 {
   const auto found = forwarded.find(aAnswer.id());
   if (found != forwarded.end()) {
-    CallAnswer answer;
+    HttpResponse answer;
     answer.status = aAnswer.status();
     answer.body = aAnswer.body();
     found->second->Set(std::move(answer));
   }
 }
 
-asio::awaitable<CallAnswer>
-ControlHost::Impl::HandleAsLeader(const CallRequest& aCall)
+asio::awaitable<HttpResponse>
+ControlHost::Impl::HandleAsLeader(const HttpRequest& aCall)
 {
   Result<ControlCall> call =
-    dialect.Decode(aCall.method, aCall.target, aCall.body);
+    dialect.DecodeCall(aCall.method, aCall.target, aCall.body);
   if (!call) {
     co_return Unread(aCall, call.error());
   }
@@ -183,8 +183,8 @@
 }
 
 /// A call that can't be read.
-CallAnswer
-ControlHost::Impl::Unread(const CallRequest& aCall, const Error& aError)
+HttpResponse
+ControlHost::Impl::Unread(const HttpRequest& aCall, const Error& aError)
 {
   CountNotTaken(aError);
   Info() << "refuses " << aCall.method << " "
@@ -192,7 +192,7 @@
   return Refused(aError);
 }
 
-asio::awaitable<CallAnswer>
+asio::awaitable<HttpResponse>
 ControlHost::Impl::OnCall(const Heartbeat& aHeartbeat)
 {
   co_return Encoded(co_await Decide(aHeartbeat));
@@ -243,7 +243,7 @@
   co_return answer;
 }
 
-asio::awaitable<CallAnswer>
+asio::awaitable<HttpResponse>
 ControlHost::Impl::OnCall(const Deregistration& aLeaving)
 {
   const auto command = rangeAssigner.OnDeregistration(aLeaving, state);
@@ -253,11 +253,11 @@
   const Result<void> ended = co_await Propose(*command);
   Info() << "instance " << aLeaving.instance << " life " << aLeaving.life
          << " leaves";
-  co_return ended ? CallAnswer{ kOk, "{}", "application/json" }
+  co_return ended ? HttpResponse{ kOk, "{}", "application/json" }
                   : Refused(ended.error());
 }
 
-asio::awaitable<CallAnswer>
+asio::awaitable<HttpResponse>
 ControlHost::Impl::OnCall(const wire::ChangeItems& aChange)
 {
   if (Result<void> allowed = state.Items().Check(aChange); !allowed) {
@@ -273,7 +273,7 @@
   }
   Info() << "takes a change: " << Summary(aChange) << ", in force at index "
          << state.Applied().value;
-  co_return CallAnswer{ kOk, "{}", "application/json" };
+  co_return HttpResponse{ kOk, "{}", "application/json" };
 }
 
 bool
@@ -286,7 +286,7 @@
 
 /// Committed also if it changes nothing: an order against it may be under way,
 /// and the one that is answered last must be the one in force.
-asio::awaitable<CallAnswer>
+asio::awaitable<HttpResponse>
 ControlHost::Impl::OnCall(const Evacuation& aOrder)
 {
   const char* const what = aOrder.ends ? "the end" : "the start";
@@ -307,12 +307,12 @@
   Info() << "takes " << what << " of the evacuation of "
          << aOrder.dataCentre.value << ", in force at index "
          << state.Applied().value;
-  metrics.Count("evacuations",
-                aOrder.ends ? "order=\"end\"" : "order=\"start\"");
-  co_return CallAnswer{ kOk, "{}", "application/json" };
+  metrics.Increment("evacuations",
+                    aOrder.ends ? "order=\"end\"" : "order=\"start\"");
+  co_return HttpResponse{ kOk, "{}", "application/json" };
 }
 
-CallAnswer
+HttpResponse
 ControlHost::Impl::OnRead() const
 {
   if (!LeadsSurely() || state.Items().IsEmpty()) {
@@ -352,12 +352,12 @@
 void
 ControlHost::Impl::CountNotTaken(const Error& aError)
 {
-  metrics.Count("messages_not_taken",
-                "code=\"" + std::string(Describe(aError.code).name) + "\"");
+  metrics.Increment("messages_not_taken",
+                    "code=\"" + std::string(Describe(aError.code).name) + "\"");
 }
 
 /// A message of another writer, or of an earlier life.
-CallAnswer
+HttpResponse
 ControlHost::Impl::NotTaken(std::string_view aCall,
                             const std::string& aInstance,
                             const Error& aError)
@@ -368,25 +368,25 @@
   return Refused(aError);
 }
 
-CallAnswer
+HttpResponse
 ControlHost::Impl::Refused(const Error& aError) const
 {
   return { StatusOf(aError), dialect.Encode(aError), "application/json" };
 }
 
-CallAnswer
+HttpResponse
 ControlHost::Impl::Unavailable(std::string aText) const
 {
   return Refused(Error{ Code::NoQuorum, std::move(aText) });
 }
 
-asio::awaitable<CallAnswer>
-ControlHost::Impl::AnswerMetrics(std::weak_ptr<Impl> aSelf, CallRequest aCall)
+asio::awaitable<HttpResponse>
+ControlHost::Impl::AnswerMetrics(std::weak_ptr<Impl> aSelf, HttpRequest aCall)
 {
   const auto self = aSelf.lock();
-  co_return CallAnswer{ self ? kOk : kUnavailable,
-                        self ? self->MetricsPage() : std::string(),
-                        "text/plain" };
+  co_return HttpResponse{ self ? kOk : kUnavailable,
+                          self ? self->MetricsPage() : std::string(),
+                          "text/plain" };
 }
 
 std::string
@@ -401,7 +401,7 @@
   metrics.Set("disk_failing", status.storageError.empty() ? 0 : 1);
   metrics.Set("entries", static_cast<double>(state.Entries().size()));
   metrics.Set("upstreams", static_cast<double>(state.Instances().size()));
-  return metrics.Page();
+  return metrics.PrometheusText();
 }
 
 } // namespace rattandyke::gateway
--- a/src/librattandyke/gateway/control_host_feed.cpp
+++ b/src/librattandyke/gateway/control_host_feed.cpp
@@ -175,8 +175,8 @@
 void
 ControlHost::Impl::NoteControl(const wire::ControlMember& aControl)
 {
-  const auto known = state.Controls().find(aControl.address());
-  const bool same = known != state.Controls().end() &&
+  const auto known = state.ControlHosts().find(aControl.address());
+  const bool same = known != state.ControlHosts().end() &&
                     known->second.data_centre() == aControl.data_centre();
   if (same || !LeadsSurely()) {
     return;
@@ -197,7 +197,7 @@
 {
   const std::vector<std::string> hosts = ControlHosts();
   std::vector<wire::GatewayCommand> commands;
-  for (const auto& [address, control] : state.Controls()) {
+  for (const auto& [address, control] : state.ControlHosts()) {
     if (std::find(hosts.begin(), hosts.end(), address) == hosts.end()) {
       commands.emplace_back().mutable_drop_control()->set_address(address);
     }
--- a/src/librattandyke/gateway/control_host_forward.cpp
+++ b/src/librattandyke/gateway/control_host_heartbeats.cpp
@@ -34,12 +34,12 @@
 /// Each upstream keeps to the control host that it has found, so that no host
 /// has the connections of all. Control hosts read heartbeats and word answers;
 /// the leader gets in one message what came in a few milliseconds.
-asio::awaitable<CallAnswer>
+asio::awaitable<HttpResponse>
 ControlHost::Impl::ForwardHeartbeat(HostName aLeader,
                                     const Heartbeat& aHeartbeat)
 {
   if (forwardedHeartbeats.size() >= kMostForwarded) {
-    metrics.Count("heartbeats_refused", "");
+    metrics.Increment("heartbeats_refused", "");
     co_return Encoded(Behind());
   }
   const uint64_t id = ++lastCall;
@@ -169,7 +169,7 @@
   }
 }
 
-CallAnswer
+HttpResponse
 ControlHost::Impl::Encoded(Result<HeartbeatAnswer> aAnswer) const
 {
   if (!aAnswer) {
--- a/src/librattandyke/gateway/control_host_impl.h
+++ b/src/librattandyke/gateway/control_host_impl.h
@@ -16,14 +16,14 @@
 #include <boost/asio/use_awaitable.hpp>
 
 #include "consensus/driver.h"
-#include "gateway/call_server.h"
 #include "gateway/control_host.h"
 #include "gateway/entry_registry.h"
 #include "gateway/feed_server.h"
-#include "gateway/range_assigner.h"
 #include "gateway/heartbeat_queue.h"
 #include "gateway/heartbeat_wire.h"
+#include "gateway/http_server.h"
 #include "gateway/metrics.h"
+#include "gateway/range_assigner.h"
 #include "log/log.h"
 #include "net/frame_mesh.h"
 
@@ -109,7 +109,7 @@
 
   // Heartbeats between control hosts: control_host_forward.cpp.
 
-  boost::asio::awaitable<CallAnswer> ForwardHeartbeat(
+  boost::asio::awaitable<HttpResponse> ForwardHeartbeat(
     HostName aLeader,
     const Heartbeat& aHeartbeat);
   void FlushHeartbeats();
@@ -125,41 +125,41 @@
   void FlushAnswers();
   void OnForwardedHeartbeatAnswers(
     const wire::ForwardedHeartbeatAnswers& aBatch);
-  CallAnswer Encoded(Result<HeartbeatAnswer> aAnswer) const;
+  HttpResponse Encoded(Result<HeartbeatAnswer> aAnswer) const;
 
   // Calls: control_host_calls.cpp.
 
-  static boost::asio::awaitable<CallAnswer> HandleWeak(
+  static boost::asio::awaitable<HttpResponse> HandleWeak(
     std::weak_ptr<Impl> aSelf,
-    CallRequest aCall);
-  boost::asio::awaitable<CallAnswer> Handle(CallRequest aCall);
+    HttpRequest aCall);
+  boost::asio::awaitable<HttpResponse> Handle(HttpRequest aCall);
   void OnForwardedCall(const wire::ForwardedCall& aCall);
   static boost::asio::awaitable<void> AnswerForwarded(
     std::shared_ptr<Impl> aSelf,
     wire::ForwardedCall aCall);
   void OnForwardedAnswer(const wire::ForwardedAnswer& aAnswer);
-  boost::asio::awaitable<CallAnswer> HandleAsLeader(const CallRequest& aCall);
-  boost::asio::awaitable<CallAnswer> OnCall(const Heartbeat& aHeartbeat);
+  boost::asio::awaitable<HttpResponse> HandleAsLeader(const HttpRequest& aCall);
+  boost::asio::awaitable<HttpResponse> OnCall(const Heartbeat& aHeartbeat);
   /// The leader's answer to a heartbeat.
   boost::asio::awaitable<Result<HeartbeatAnswer>> Decide(
     const Heartbeat& aHeartbeat);
-  boost::asio::awaitable<CallAnswer> OnCall(const Deregistration& aLeaving);
-  boost::asio::awaitable<CallAnswer> OnCall(const wire::ChangeItems& aChange);
-  boost::asio::awaitable<CallAnswer> OnCall(const Evacuation& aOrder);
+  boost::asio::awaitable<HttpResponse> OnCall(const Deregistration& aLeaving);
+  boost::asio::awaitable<HttpResponse> OnCall(const wire::ChangeItems& aChange);
+  boost::asio::awaitable<HttpResponse> OnCall(const Evacuation& aOrder);
   bool IsDataCentre(const DataCentre& aName) const;
-  CallAnswer OnRead() const;
+  HttpResponse OnRead() const;
   boost::asio::awaitable<void> AwaitKeys(const Heartbeat& aHeartbeat);
   void WakeKeyWaiters();
   void CountNotTaken(const Error& aError);
-  CallAnswer NotTaken(std::string_view aCall,
-                      const std::string& aInstance,
-                      const Error& aError);
-  CallAnswer Unread(const CallRequest& aCall, const Error& aError);
-  CallAnswer Refused(const Error& aError) const;
-  CallAnswer Unavailable(std::string aText) const;
-  static boost::asio::awaitable<CallAnswer> AnswerMetrics(
+  HttpResponse NotTaken(std::string_view aCall,
+                        const std::string& aInstance,
+                        const Error& aError);
+  HttpResponse Unread(const HttpRequest& aCall, const Error& aError);
+  HttpResponse Refused(const Error& aError) const;
+  HttpResponse Unavailable(std::string aText) const;
+  static boost::asio::awaitable<HttpResponse> AnswerMetrics(
     std::weak_ptr<Impl> aSelf,
-    CallRequest aCall);
+    HttpRequest aCall);
   std::string MetricsPage();
 
   const boost::asio::any_io_executor executor;
@@ -174,11 +174,11 @@
   boost::asio::steady_timer ticker;
   std::unique_ptr<net::FrameMesh> mesh;
   std::unique_ptr<consensus::Driver> driver;
-  std::unique_ptr<CallServer> calls;
-  std::unique_ptr<CallServer> metricsServer;
+  std::unique_ptr<HttpServer> calls;
+  std::unique_ptr<HttpServer> metricsServer;
   Metrics metrics;
   std::deque<std::pair<LogIndex, Result<void>>> outcomes;
-  std::map<uint64_t, std::shared_ptr<Awaited<CallAnswer>>> forwarded;
+  std::map<uint64_t, std::shared_ptr<Awaited<HttpResponse>>> forwarded;
   std::map<uint64_t, std::shared_ptr<Awaited<Result<HeartbeatAnswer>>>>
     forwardedHeartbeats;
   uint64_t lastCall = 0;
--- a/src/librattandyke/gateway/direct_choice_test.cpp
+++ b/src/librattandyke/gateway/direct_choice_test.cpp
@@ -158,13 +158,13 @@
       const Duration took = mNow - request.sent;
       mInTime += took <= kObjective ? 1 : 0;
       UpstreamSet& entry = mEntries[request.entry];
-      entry.NoteTold(aId,
-                     { static_cast<uint32_t>(aUpstream.running.size()),
-                       static_cast<uint32_t>(aUpstream.waiting.size()),
-                       kSlots,
-                       aUpstream.pace },
-                     mNow);
-      entry.End(aId, TryEnd::Answered, took, request.begun, mNow);
+      entry.RecordLoadReport(aId,
+                             { static_cast<uint32_t>(aUpstream.running.size()),
+                               static_cast<uint32_t>(aUpstream.waiting.size()),
+                               kSlots,
+                               aUpstream.pace },
+                             mNow);
+      entry.End(aId, AttemptOutcome::Answered, took, request.begun, mNow);
     }
     while (aUpstream.running.size() < kSlots && !aUpstream.waiting.empty()) {
       Request request = aUpstream.waiting.front();
--- a/src/librattandyke/gateway/egress_queue.cpp
+++ b/src/librattandyke/gateway/egress_queue.cpp
@@ -25,7 +25,7 @@
 }
 
 void
-EgressQueue::NoteSent(size_t aBytes, Instant aNow)
+EgressQueue::RecordSent(size_t aBytes, Instant aNow)
 {
   if (mBytesPerSecond <= 0) {
     return;
@@ -46,7 +46,7 @@
 EgressQueue::Enter(Ticket aTicket, size_t aBytes, Instant aDue, Instant aNow)
 {
   if (IsEmpty() && IsFree(aNow)) {
-    NoteSent(aBytes, aNow);
+    RecordSent(aBytes, aNow);
     return true;
   }
   const Waiting waiting{ aTicket, aBytes, aNow };
@@ -96,7 +96,7 @@
     Queue& queue = Next(aNow);
     const Waiting first = queue.begin()->second;
     queue.erase(queue.begin());
-    NoteSent(first.bytes, aNow);
+    RecordSent(first.bytes, aNow);
     ready.push_back(first.ticket);
   }
   return ready;
--- a/src/librattandyke/gateway/egress_queue.h
+++ b/src/librattandyke/gateway/egress_queue.h
@@ -31,7 +31,7 @@
   explicit EgressQueue(double aBytesPerSecond);
 
   /// Bytes were written that do not wait.
-  void NoteSent(size_t aBytes, Instant aNow);
+  void RecordSent(size_t aBytes, Instant aNow);
 
   /// An answer is ready.
   /// @param aDue when it should have left.
--- a/src/librattandyke/gateway/egress_queue_test.cpp
+++ b/src/librattandyke/gateway/egress_queue_test.cpp
@@ -93,7 +93,7 @@
   Enter(1, milliseconds{ 900 });
   Enter(2, milliseconds{ 900 });
   const Instant before = queue.NextAt();
-  queue.NoteSent(kLong, now);
+  queue.RecordSent(kLong, now);
   EXPECT_GE(queue.NextAt() - before, milliseconds{ 100 });
 }
 
--- a/src/librattandyke/gateway/entry_host.cpp
+++ b/src/librattandyke/gateway/entry_host.cpp
@@ -3,10 +3,10 @@
 #include <boost/asio/steady_timer.hpp>
 
 #include "base/endpoint.h"
-#include "gateway/call_server.h"
-#include "gateway/caller_front.h"
+#include "gateway/caller_server.h"
 #include "gateway/feed_client.h"
 #include "gateway/feed_server.h"
+#include "gateway/http_server.h"
 #include "gateway/request_handler.h"
 #include "log/log.h"
 #include "net/frame_mesh.h"
@@ -62,14 +62,14 @@
         },
         aClock,
         aSeed)
-    , relay(feed.Known(), FeedServer::WhileAlone::Forget)
+    , relay(feed.CurrentState(), FeedServer::WhileAlone::Forget)
     , desk(
         executor,
-        ToString(aSettings.Self()),
+        ToString(aSettings.AdvertisedAddress()),
         aSeed,
         [this](const HostName& aTo, const wire::GatewayFrame& aFrame) {
           const std::string bytes = aFrame.SerializeAsString();
-          handler.NoteSent(bytes.size());
+          handler.RecordSent(bytes.size());
           mesh->Send(aTo, bytes);
         },
         aClock,
@@ -78,9 +78,9 @@
                               aSettings.evacuationTimeout,
                               aSettings.coldFactor,
                               aSettings.coldSlack,
-                              ToString(aSettings.Self()),
+                              ToString(aSettings.AdvertisedAddress()),
                               aSettings.dataCentre },
-        [this] { return feed.Age(); })
+        [this] { return feed.StateAge(); })
     , handler(executor,
               { aSettings.dataCentre,
                 aSettings.retryRatio,
@@ -98,7 +98,7 @@
   static wire::EntryMember SelfOf(const Settings& aSettings)
   {
     wire::EntryMember self;
-    self.set_address(ToString(aSettings.Self()));
+    self.set_address(ToString(aSettings.AdvertisedAddress()));
     self.set_data_centre(aSettings.dataCentre.value);
     return self;
   }
@@ -106,15 +106,15 @@
   void OnStateChanged(const wire::GatewayCommand* aCommand)
   {
     if (aCommand == nullptr) {
-      desk.StateChanged(feed.Known());
+      desk.StateChanged(feed.CurrentState());
     } else {
-      desk.StateChanged(feed.Known(), *aCommand);
+      desk.StateChanged(feed.CurrentState(), *aCommand);
     }
     handler.StateChanged(aCommand);
     if (aCommand == nullptr) {
       relay.Reset();
     } else {
-      relay.Applied(*aCommand, feed.Known().Applied());
+      relay.Applied(*aCommand, feed.CurrentState().Applied());
       relay.Flush();
     }
   }
@@ -129,11 +129,11 @@
         << "a message between hosts can't be read; the connection ends";
       aConnection->Close();
     } else if (frame.has_slot_ask()) {
-      desk.OnAsk(frame.slot_ask());
+      desk.OnSlotRequest(frame.slot_ask());
     } else if (frame.has_slot_answer()) {
-      desk.OnAnswer(frame.slot_answer());
+      desk.OnSlotAnswer(frame.slot_answer());
     } else if (frame.has_slot_done()) {
-      desk.OnDone(frame.slot_done());
+      desk.OnSlotRelease(frame.slot_done());
     } else if (frame.has_feed_open()) {
       OnRelayOpen(aConnection, frame.feed_open());
     } else if (frame.has_feed_report()) {
@@ -144,12 +144,12 @@
   void OnRelayOpen(const net::FrameMesh::Connection& aConnection,
                    const wire::FeedOpen& aOpen)
   {
-    if (stopping || feed.Age() >= kRelayedAge) {
+    if (stopping || feed.StateAge() >= kRelayedAge) {
       aConnection->Close();
       return;
     }
     relay.Open(aConnection, aOpen);
-    relay.Ping(aConnection, feed.ControlHosts(), feed.Age());
+    relay.Ping(aConnection, feed.ControlHosts(), feed.StateAge());
   }
 
   /// Passes on what an entry that subscribes here reports.
@@ -193,11 +193,11 @@
       return tl::unexpected(open.error());
     }
     if (settings.readiness) {
-      readiness = std::make_unique<CallServer>(
+      readiness = std::make_unique<HttpServer>(
         executor,
         *settings.readiness,
-        settings.MostCalls(),
-        [self = weak_from_this()](CallRequest aCall) {
+        settings.MaxCallConnections(),
+        [self = weak_from_this()](HttpRequest aCall) {
           return AnswerReadiness(self, std::move(aCall));
         });
       if (Result<void> started = readiness->Start(); !started) {
@@ -205,11 +205,11 @@
       }
     }
     if (settings.metrics) {
-      metrics = std::make_unique<CallServer>(
+      metrics = std::make_unique<HttpServer>(
         executor,
         *settings.metrics,
-        settings.MostCalls(),
-        [self = weak_from_this()](CallRequest aCall) {
+        settings.MaxCallConnections(),
+        [self = weak_from_this()](HttpRequest aCall) {
           return AnswerMetrics(self, std::move(aCall));
         });
       if (Result<void> started = metrics->Start(); !started) {
@@ -224,31 +224,33 @@
 
   bool IsReady() const
   {
-    return !stopping && feed.HasState() && !feed.Known().Items().IsEmpty();
+    return !stopping && feed.HasState() &&
+           !feed.CurrentState().Items().IsEmpty();
   }
 
-  static asio::awaitable<CallAnswer> AnswerReadiness(std::weak_ptr<Impl> aSelf,
-                                                     CallRequest aCall)
+  static asio::awaitable<HttpResponse> AnswerReadiness(
+    std::weak_ptr<Impl> aSelf,
+    HttpRequest aCall)
   {
     const auto self = aSelf.lock();
     if (self && !self->dialect.IsReadinessPath(aCall.target)) {
-      co_return CallAnswer{ kNotFound,
-                            "only readiness is asked here\n",
-                            "text/plain" };
+      co_return HttpResponse{ kNotFound,
+                              "only readiness is asked here\n",
+                              "text/plain" };
     }
     const bool ready = self && self->IsReady();
-    co_return CallAnswer{ ready ? kOk : kUnavailable,
-                          ready ? "ready\n" : "not ready\n",
-                          "text/plain" };
+    co_return HttpResponse{ ready ? kOk : kUnavailable,
+                            ready ? "ready\n" : "not ready\n",
+                            "text/plain" };
   }
 
-  static asio::awaitable<CallAnswer> AnswerMetrics(std::weak_ptr<Impl> aSelf,
-                                                   CallRequest aCall)
+  static asio::awaitable<HttpResponse> AnswerMetrics(std::weak_ptr<Impl> aSelf,
+                                                     HttpRequest aCall)
   {
     const auto self = aSelf.lock();
-    co_return CallAnswer{ self ? kOk : kUnavailable,
-                          self ? self->handler.MetricsPage() : std::string(),
-                          "text/plain" };
+    co_return HttpResponse{ self ? kOk : kUnavailable,
+                            self ? self->handler.MetricsPage() : std::string(),
+                            "text/plain" };
   }
 
   void Sweep()
@@ -268,14 +270,14 @@
     const Instant now = clock.Now();
     callers.Sweep(now);
     handler.Sweep();
-    if (!stopping && feed.Age() < kRelayedAge) {
-      relay.Ping(feed.ControlHosts(), feed.Age());
+    if (!stopping && feed.StateAge() < kRelayedAge) {
+      relay.Ping(feed.ControlHosts(), feed.StateAge());
     } else {
       relay.CloseAll();
     }
     if (now - reportedAt >= kReportInterval) {
       reportedAt = now;
-      wire::FeedReport report = handler.TakeLoads();
+      wire::FeedReport report = handler.TakeLoadReport();
       report.set_leaving(stopping);
       for (const wire::EntryMember& entry : relay.Entries()) {
         *report.add_entries() = entry;
@@ -298,7 +300,7 @@
     const Duration left = stoppedAt + settings.shutdownGrace - aNow;
     const bool late = left <= kGraceMargin && lastCalled;
     if (left <= kGraceMargin + kSweepInterval) {
-      callers.LastCall();
+      callers.ExpireRequests();
       lastCalled = true;
     }
     const bool idle = callers.IsClosed();
@@ -330,12 +332,12 @@
   std::unique_ptr<net::FrameMesh> mesh;
   FeedClient feed;
   FeedServer relay;
-  SlotDesk desk;
+  SlotCoordinator desk;
   RequestHandler handler;
-  CallerFront callers;
+  CallerServer callers;
   asio::steady_timer slotTicker;
-  std::unique_ptr<CallServer> readiness;
-  std::unique_ptr<CallServer> metrics;
+  std::unique_ptr<HttpServer> readiness;
+  std::unique_ptr<HttpServer> metrics;
   Instant reportedAt{};
   bool stopping = false;
   /// Requests have been told that the host ends.
--- a/src/librattandyke/gateway/evacuation_test.cpp
+++ b/src/librattandyke/gateway/evacuation_test.cpp
@@ -142,7 +142,7 @@
   entry.now += milliseconds{ kEvacuation } / 2;
   EXPECT_EQ(entry.set.OwnerOf(entry.state, "board", 7, entry.now), "");
   const auto outcome = entry.set.ChooseOne("a", entry.now);
-  EXPECT_TRUE(std::holds_alternative<UpstreamSet::Hindrance>(outcome));
+  EXPECT_TRUE(std::holds_alternative<UpstreamSet::UnavailableReason>(outcome));
 }
 
 // Upstreams may have become cold before the end of the order, and tell so only
--- a/src/librattandyke/gateway/feed_client.cpp
+++ b/src/librattandyke/gateway/feed_client.cpp
@@ -9,7 +9,7 @@
 #include <boost/asio/steady_timer.hpp>
 
 #include "base/endpoint.h"
-#include "gateway/packed_frame.h"
+#include "gateway/outgoing_frame.h"
 #include "log/log.h"
 #include "net/frame_connection.h"
 
@@ -140,8 +140,8 @@
   /// @return whether a control host is known to be in this data centre.
   bool IsNear(const std::string& aHost) const
   {
-    const auto known = state.Controls().find(aHost);
-    return known != state.Controls().end() &&
+    const auto known = state.ControlHosts().find(aHost);
+    return known != state.ControlHosts().end() &&
            known->second.data_centre() == options.self.data_centre();
   }
 
@@ -318,7 +318,7 @@
     }
     if (!frame.has_packed()) {
       Dispatch(frame);
-    } else if (const auto unpacked = UnpackFrame(frame.packed())) {
+    } else if (const auto unpacked = DecompressFrame(frame.packed())) {
       Dispatch(*unpacked);
     } else {
       OnUnreadable();
@@ -471,7 +471,7 @@
 }
 
 const State&
-FeedClient::Known() const
+FeedClient::CurrentState() const
 {
   return mImpl->state;
 }
@@ -489,7 +489,7 @@
 }
 
 Duration
-FeedClient::Age() const
+FeedClient::StateAge() const
 {
   return mImpl->clock.Now() - mImpl->assuredAt;
 }
--- a/src/librattandyke/gateway/feed_client.h
+++ b/src/librattandyke/gateway/feed_client.h
@@ -46,14 +46,14 @@
   /// Replaces the seeds, which may be exchanged while the host runs.
   void SetSeeds(std::vector<Endpoint> aSeeds);
 
-  const State& Known() const;
+  const State& CurrentState() const;
 
   /// @return whether a state has been received at all.
   bool HasState() const;
 
   /// @return time since a control host last assured that the state is the
   /// newest.
-  Duration Age() const;
+  Duration StateAge() const;
 
   /// @return the control hosts that the group has, as last heard.
   const std::vector<std::string>& ControlHosts() const;
--- a/src/librattandyke/gateway/feed_server.cpp
+++ b/src/librattandyke/gateway/feed_server.cpp
@@ -85,7 +85,8 @@
                    OutgoingFrame& aFrame)
 {
   ++mMessages;
-  aConnection->Send(aSubscriber.readsPacked ? aFrame.Packed() : aFrame.Plain());
+  aConnection->Send(aSubscriber.readsPacked ? aFrame.Compressed()
+                                            : aFrame.Plain());
 }
 
 size_t
--- a/src/librattandyke/gateway/feed_server.h
+++ b/src/librattandyke/gateway/feed_server.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "gateway/packed_frame.h"
+#include "gateway/outgoing_frame.h"
 #include "gateway/state.h"
 #include "net/frame_mesh.h"
 
--- a/src/librattandyke/gateway/feed_test.cpp
+++ b/src/librattandyke/gateway/feed_test.cpp
@@ -34,7 +34,7 @@
 {
   wire::GatewayFrame frame;
   EXPECT_TRUE(frame.ParseFromString(aBytes));
-  return frame.has_packed() ? UnpackFrame(frame.packed()).value() : frame;
+  return frame.has_packed() ? DecompressFrame(frame.packed()).value() : frame;
 }
 
 /// The far end of a subscription: keeps what arrives.
@@ -44,7 +44,7 @@
   std::shared_ptr<net::FrameConnection> far;
   std::vector<std::string> frames;
 
-  State Known() const
+  State CurrentState() const
   {
     State state;
     for (const std::string& bytes : frames) {
@@ -138,8 +138,8 @@
   ASSERT_FALSE(second->frames.empty());
   EXPECT_EQ(first->frames.front(), second->frames.front());
   for (const auto& subscriber : { first, second }) {
-    EXPECT_EQ(subscriber->Known().Applied(), state.Applied());
-    EXPECT_EQ(subscriber->Known().Instances().size(), 40U);
+    EXPECT_EQ(subscriber->CurrentState().Applied(), state.Applied());
+    EXPECT_EQ(subscriber->CurrentState().Instances().size(), 40U);
   }
 }
 
@@ -154,8 +154,8 @@
   }
   const auto second = Subscribe();
   Run();
-  EXPECT_EQ(second->Known().Instances().size(), 900U);
-  EXPECT_EQ(first->Known().Instances().size(), 900U);
+  EXPECT_EQ(second->CurrentState().Instances().size(), 900U);
+  EXPECT_EQ(first->CurrentState().Instances().size(), 900U);
 }
 
 // Guards against a write for each subscriber and each upstream that registers,
@@ -176,7 +176,7 @@
     EXPECT_EQ(server.Messages() - before, subscribers.size());
   }
   for (const auto& subscriber : subscribers) {
-    EXPECT_EQ(subscriber->Known().Applied(), state.Applied());
+    EXPECT_EQ(subscriber->CurrentState().Applied(), state.Applied());
   }
 }
 
@@ -191,7 +191,7 @@
   server.Flush();
   Run();
   for (const auto& subscriber : { early, late }) {
-    EXPECT_EQ(subscriber->Known().Instances().size(), 3U);
+    EXPECT_EQ(subscriber->CurrentState().Instances().size(), 3U);
   }
 }
 
@@ -251,7 +251,8 @@
   const auto late = Subscribe();
   Run();
   for (const auto& subscriber : { early, late }) {
-    EXPECT_TRUE(subscriber->Known().Ranges("desk")->Find(5).holder().empty());
+    EXPECT_TRUE(
+      subscriber->CurrentState().Ranges("desk")->Find(5).holder().empty());
     for (const std::string& bytes : subscriber->frames) {
       EXPECT_EQ(bytes.find("secret"), std::string::npos);
     }
@@ -282,7 +283,7 @@
   EXPECT_LE(bytes(*packed) * 3, bytes(*plain));
   EXPECT_LE(bytes(*late) * 3, bytes(*plain));
   for (const auto& subscriber : { plain, packed, late }) {
-    EXPECT_EQ(subscriber->Known().Items().Routes().size(), 1400U);
+    EXPECT_EQ(subscriber->CurrentState().Items().Routes().size(), 1400U);
   }
 }
 
@@ -304,8 +305,8 @@
   open.set_applied(known);
   server.Open(before->near, open);
   Run();
-  EXPECT_EQ(before->Known().Items().Routes().size(), 1400U);
-  EXPECT_EQ(before->Known().Instances().size(), 2U);
+  EXPECT_EQ(before->CurrentState().Items().Routes().size(), 1400U);
+  EXPECT_EQ(before->CurrentState().Instances().size(), 2U);
 }
 
 /// A control host whose whole state takes longer to arrive than an entry bears
@@ -404,7 +405,7 @@
   client.Start();
   context.run_for(milliseconds{ 1600 });
   EXPECT_EQ(host.Connections(), 1U);
-  EXPECT_EQ(client.Known().Instances().size(), 50U);
+  EXPECT_EQ(client.CurrentState().Instances().size(), 50U);
   client.Stop();
 }
 
--- a/src/librattandyke/gateway/call_server.cpp
+++ b/src/librattandyke/gateway/http_server.cpp
@@ -1,4 +1,4 @@
-#include "gateway/call_server.h"
+#include "gateway/http_server.h"
 
 #include <optional>
 #include <set>
@@ -33,7 +33,7 @@
 constexpr std::chrono::seconds kIdleTimeout{ 30 };
 } // namespace
 
-struct CallServer::Impl : std::enable_shared_from_this<CallServer::Impl>
+struct HttpServer::Impl : std::enable_shared_from_this<HttpServer::Impl>
 {
   struct Session
   {
@@ -94,10 +94,10 @@
       }
       aSession->busy = true;
       aSession->stream.expires_never();
-      CallRequest request{ std::string(parser.get().method_string()),
+      HttpRequest request{ std::string(parser.get().method_string()),
                            std::string(parser.get().target()),
                            std::move(parser.get().body()) };
-      CallAnswer answer = co_await aSelf->handler(std::move(request));
+      HttpResponse answer = co_await aSelf->handler(std::move(request));
       http::response<http::string_body> response;
       response.result(answer.status);
       response.set(http::field::content_type, answer.contentType);
@@ -152,7 +152,7 @@
   bool stopped = false;
 };
 
-CallServer::CallServer(asio::any_io_executor aExecutor,
+HttpServer::HttpServer(asio::any_io_executor aExecutor,
                        Endpoint aListen,
                        size_t aMostConnections,
                        Handler aHandler)
@@ -163,19 +163,19 @@
 {
 }
 
-CallServer::~CallServer()
+HttpServer::~HttpServer()
 {
   Stop();
 }
 
 Result<void>
-CallServer::Start()
+HttpServer::Start()
 {
   return mImpl->Start();
 }
 
 void
-CallServer::Stop()
+HttpServer::Stop()
 {
   if (!mImpl->stopped) {
     mImpl->Stop();
--- a/src/librattandyke/gateway/call_server.h
+++ b/src/librattandyke/gateway/http_server.h
@@ -13,14 +13,14 @@
 
 namespace rattandyke::gateway {
 
-struct CallRequest
+struct HttpRequest
 {
   std::string method;
   std::string target;
   std::string body;
 };
 
-struct CallAnswer
+struct HttpResponse
 {
   unsigned status = 200;
   std::string body;
@@ -29,20 +29,20 @@
 
 /// Answers whole requests, any number on a connection. Runs on one executor
 /// that runs one handler at a time.
-class CallServer
+class HttpServer
 {
 public:
   using Handler =
-    std::function<boost::asio::awaitable<CallAnswer>(CallRequest)>;
+    std::function<boost::asio::awaitable<HttpResponse>(HttpRequest)>;
 
   /// @param aMostConnections beyond these, new ones are closed: callers go to
   /// another host. Each upstream keeps one, and one that fell dark leaves its
   /// own behind for the idle time.
-  CallServer(boost::asio::any_io_executor aExecutor,
+  HttpServer(boost::asio::any_io_executor aExecutor,
              Endpoint aListen,
              size_t aMostConnections,
              Handler aHandler);
-  ~CallServer();
+  ~HttpServer();
 
   /// @return Code::AddressInUse if it can't listen.
   Result<void> Start();
--- a/src/librattandyke/gateway/call_server_test.cpp
+++ b/src/librattandyke/gateway/http_server_test.cpp
@@ -1,4 +1,4 @@
-#include "gateway/call_server.h"
+#include "gateway/http_server.h"
 
 #include <array>
 #include <vector>
@@ -23,17 +23,17 @@
 // The host has no descriptor left for one more connection. It must not spend
 // its share of the core on trying again at once; the call that waits is taken
 // once there is room.
-TEST(CallServer, WithoutDescriptorsItWaits)
+TEST(HttpServer, WithoutDescriptorsItWaits)
 {
   asio::io_context context;
   const Endpoint address = FreeAddress(context);
   size_t calls = 0;
-  CallServer server(context.get_executor(),
+  HttpServer server(context.get_executor(),
                     address,
                     kMostConnections,
-                    [&](const CallRequest&) -> asio::awaitable<CallAnswer> {
+                    [&](const HttpRequest&) -> asio::awaitable<HttpResponse> {
                       ++calls;
-                      co_return CallAnswer{ 200, "", "text/plain" };
+                      co_return HttpResponse{ 200, "", "text/plain" };
                     });
   ASSERT_TRUE(server.Start());
   tcp::socket caller(context);
@@ -53,18 +53,18 @@
 // Guards against a fixed number of connections that a larger fleet exceeds: its
 // upstreams' heartbeats are cut off, and owners lose their keys though they
 // live.
-TEST(CallServer, AsManyConnectionsAsAreAllowedAreServed)
+TEST(HttpServer, AsManyConnectionsAsAreAllowedAreServed)
 {
   for (const size_t most : { 1U, 50U }) {
     asio::io_context context;
     const Endpoint address = FreeAddress(context);
     size_t calls = 0;
-    CallServer server(context.get_executor(),
+    HttpServer server(context.get_executor(),
                       address,
                       most,
-                      [&](const CallRequest&) -> asio::awaitable<CallAnswer> {
+                      [&](const HttpRequest&) -> asio::awaitable<HttpResponse> {
                         ++calls;
-                        co_return CallAnswer{ 200, "", "text/plain" };
+                        co_return HttpResponse{ 200, "", "text/plain" };
                       });
     ASSERT_TRUE(server.Start());
     std::vector<tcp::socket> callers;
@@ -88,7 +88,7 @@
 // A third of a fleet falls dark and is started anew elsewhere: the leader still
 // has the connections of those that are gone, and gets as many new ones. Every
 // newcomer's heartbeat must be answered: without an answer it holds no keys.
-TEST(CallServer, ConnectionsOfAFleetAndOfItsSuccessorsAreServed)
+TEST(HttpServer, ConnectionsOfAFleetAndOfItsSuccessorsAreServed)
 {
   constexpr size_t kUpstreams = 810;
   constexpr size_t kReplaced = 284;
@@ -98,12 +98,12 @@
   asio::io_context context;
   const Endpoint address = FreeAddress(context);
   size_t calls = 0;
-  CallServer server(context.get_executor(),
+  HttpServer server(context.get_executor(),
                     address,
                     kMostConnections,
-                    [&](const CallRequest&) -> asio::awaitable<CallAnswer> {
+                    [&](const HttpRequest&) -> asio::awaitable<HttpResponse> {
                       ++calls;
-                      co_return CallAnswer{ 200, "", "text/plain" };
+                      co_return HttpResponse{ 200, "", "text/plain" };
                     });
   ASSERT_TRUE(server.Start());
   std::vector<tcp::socket> callers;
@@ -129,17 +129,17 @@
 // link. The caller sees its connection end and gets no answer, although the
 // host lives on until another leads: stopping cuts the read of what has begun
 // to arrive, as it does an idle wait.
-TEST(CallServer, CallThatIsArrivingIsAnsweredAlthoughItStops)
+TEST(HttpServer, CallThatIsArrivingIsAnsweredAlthoughItStops)
 {
   asio::io_context context;
   const Endpoint address = FreeAddress(context);
   size_t calls = 0;
-  CallServer server(context.get_executor(),
+  HttpServer server(context.get_executor(),
                     address,
                     kMostConnections,
-                    [&](const CallRequest&) -> asio::awaitable<CallAnswer> {
+                    [&](const HttpRequest&) -> asio::awaitable<HttpResponse> {
                       ++calls;
-                      co_return CallAnswer{ 200, "", "text/plain" };
+                      co_return HttpResponse{ 200, "", "text/plain" };
                     });
   ASSERT_TRUE(server.Start());
   tcp::socket caller(context);
@@ -167,15 +167,15 @@
 
 // A caller keeps a connection on which it calls nothing. It must see its end
 // when the host stops, and not learn of it with its next call.
-TEST(CallServer, IdleConnectionEndsAsItStops)
+TEST(HttpServer, IdleConnectionEndsAsItStops)
 {
   asio::io_context context;
   const Endpoint address = FreeAddress(context);
-  CallServer server(context.get_executor(),
+  HttpServer server(context.get_executor(),
                     address,
                     kMostConnections,
-                    [](const CallRequest&) -> asio::awaitable<CallAnswer> {
-                      co_return CallAnswer{};
+                    [](const HttpRequest&) -> asio::awaitable<HttpResponse> {
+                      co_return HttpResponse{};
                     });
   ASSERT_TRUE(server.Start());
   tcp::socket caller(context);
--- a/src/librattandyke/gateway/items.cpp
+++ b/src/librattandyke/gateway/item_table.cpp
@@ -1,4 +1,4 @@
-#include "gateway/items.h"
+#include "gateway/item_table.h"
 
 #include <cmath>
 #include <optional>
@@ -359,7 +359,7 @@
 }
 
 Result<void>
-ItemTable::Submit(const wire::ChangeItems& aChange)
+ItemTable::CheckAndApply(const wire::ChangeItems& aChange)
 {
   const Outcome outcome(*this, aChange);
   if (Result<void> allowed = Check(aChange, outcome); !allowed) {
--- a/src/librattandyke/gateway/items.h
+++ b/src/librattandyke/gateway/item_table.h
@@ -29,7 +29,7 @@
 
   /// Applies a change if Check allows it, at the cost of one look at it.
   /// @return as Check.
-  Result<void> Submit(const wire::ChangeItems& aChange);
+  Result<void> CheckAndApply(const wire::ChangeItems& aChange);
 
   const std::map<std::string, wire::RouteItem>& Routes() const
   {
--- a/src/librattandyke/gateway/items_test.cpp
+++ b/src/librattandyke/gateway/item_table_test.cpp
@@ -1,4 +1,4 @@
-#include "gateway/items.h"
+#include "gateway/item_table.h"
 
 #include <algorithm>
 #include <set>
@@ -62,7 +62,7 @@
 
 /// @return whether the change was taken.
 bool
-Submit(ItemTable& aItems, const wire::ChangeItems& aChange)
+CheckAndApply(ItemTable& aItems, const wire::ChangeItems& aChange)
 {
   if (!aItems.Check(aChange)) {
     return false;
@@ -81,8 +81,8 @@
 TEST(ItemTable, SameChangeAgainIsAcceptedAndChangesNothing)
 {
   ItemTable items;
-  ASSERT_TRUE(Submit(items, Change({ MakeRoute("hire", 7) })));
-  EXPECT_TRUE(Submit(items, Change({ MakeRoute("hire", 7) })));
+  ASSERT_TRUE(CheckAndApply(items, Change({ MakeRoute("hire", 7) })));
+  EXPECT_TRUE(CheckAndApply(items, Change({ MakeRoute("hire", 7) })));
   EXPECT_EQ(items.Routes().at("hire").version(), 7U);
 }
 
@@ -92,9 +92,9 @@
 TEST(ItemTable, OvertakenChangeIsAcceptedAndChangesNothing)
 {
   ItemTable items;
-  ASSERT_TRUE(Submit(items, Change({ MakeRoute("hire", 7) })));
-  ASSERT_TRUE(Submit(items, Change({ MakeRoute("hire", 9, "b") })));
-  EXPECT_TRUE(Submit(items, Change({ MakeRoute("hire", 7) })));
+  ASSERT_TRUE(CheckAndApply(items, Change({ MakeRoute("hire", 7) })));
+  ASSERT_TRUE(CheckAndApply(items, Change({ MakeRoute("hire", 9, "b") })));
+  EXPECT_TRUE(CheckAndApply(items, Change({ MakeRoute("hire", 7) })));
   EXPECT_EQ(items.Routes().at("hire").source(), "b9");
 }
 
@@ -103,7 +103,7 @@
 TEST(ItemTable, SameVersionWithOtherContentsIsRefused)
 {
   ItemTable items;
-  ASSERT_TRUE(Submit(items, Change({ MakeRoute("hire", 7, "a") })));
+  ASSERT_TRUE(CheckAndApply(items, Change({ MakeRoute("hire", 7, "a") })));
   EXPECT_EQ(CodeOf(items, Change({ MakeRoute("hire", 7, "b") })),
             Code::RevisionConflict);
   EXPECT_EQ(items.Routes().at("hire").source(), "a7");
@@ -114,19 +114,19 @@
 TEST(ItemTable, DroppedItemDoesNotComeBack)
 {
   ItemTable items;
-  ASSERT_TRUE(Submit(items, Change({ MakeRoute("hire", 7) })));
-  ASSERT_TRUE(Submit(items, DropRoute("hire", 9)));
-  EXPECT_TRUE(Submit(items, Change({ MakeRoute("hire", 8) })));
+  ASSERT_TRUE(CheckAndApply(items, Change({ MakeRoute("hire", 7) })));
+  ASSERT_TRUE(CheckAndApply(items, DropRoute("hire", 9)));
+  EXPECT_TRUE(CheckAndApply(items, Change({ MakeRoute("hire", 8) })));
   EXPECT_FALSE(items.Routes().contains("hire"));
-  EXPECT_TRUE(Submit(items, Change({ MakeRoute("hire", 10) })));
+  EXPECT_TRUE(CheckAndApply(items, Change({ MakeRoute("hire", 10) })));
   EXPECT_TRUE(items.Routes().contains("hire"));
 }
 
 TEST(ItemTable, DropOfANameThatNeverWasKeepsLaterOlderItemsOut)
 {
   ItemTable items;
-  ASSERT_TRUE(Submit(items, DropRoute("hire", 5)));
-  EXPECT_TRUE(Submit(items, Change({ MakeRoute("hire", 4) })));
+  ASSERT_TRUE(CheckAndApply(items, DropRoute("hire", 5)));
+  EXPECT_TRUE(CheckAndApply(items, Change({ MakeRoute("hire", 4) })));
   EXPECT_FALSE(items.Routes().contains("hire"));
 }
 
@@ -156,7 +156,7 @@
 TEST(ItemTable, ServiceInUseCannotBeDropped)
 {
   ItemTable items;
-  ASSERT_TRUE(Submit(items, Change({ MakeRoute("hire", 2) })));
+  ASSERT_TRUE(CheckAndApply(items, Change({ MakeRoute("hire", 2) })));
   wire::ChangeItems change;
   wire::DroppedItem* drop = change.add_dropped_services();
   drop->set_name("board");
@@ -167,15 +167,15 @@
 TEST(ItemTable, SavedItemsAreLoadedWithTheirDrops)
 {
   ItemTable items;
-  ASSERT_TRUE(
-    Submit(items, Change({ MakeRoute("hire", 2), MakeRoute("log", 3) })));
-  ASSERT_TRUE(Submit(items, DropRoute("log", 4)));
+  ASSERT_TRUE(CheckAndApply(
+    items, Change({ MakeRoute("hire", 2), MakeRoute("log", 3) })));
+  ASSERT_TRUE(CheckAndApply(items, DropRoute("log", 4)));
   wire::GatewayState saved;
   items.Save(saved);
   ItemTable loaded;
   loaded.Load(saved);
   EXPECT_TRUE(loaded.Routes().contains("hire"));
-  EXPECT_TRUE(Submit(loaded, Change({ MakeRoute("log", 3) })));
+  EXPECT_TRUE(CheckAndApply(loaded, Change({ MakeRoute("log", 3) })));
   EXPECT_FALSE(loaded.Routes().contains("log"));
 }
 
@@ -193,9 +193,9 @@
   for (size_t i = 0; i < versions.size(); ++i) {
     // A version stands for one content only.
     const bool drop = taken.try_emplace(versions[i], drops[i]).first->second;
-    RC_ASSERT(Submit(items,
-                     drop ? DropRoute("hire", versions[i])
-                          : Change({ MakeRoute("hire", versions[i]) })));
+    RC_ASSERT(CheckAndApply(items,
+                            drop ? DropRoute("hire", versions[i])
+                                 : Change({ MakeRoute("hire", versions[i]) })));
   }
   const auto& [newest, dropped] = *taken.rbegin();
   RC_ASSERT(items.Routes().contains("hire") == !dropped);
@@ -284,10 +284,10 @@
 TEST(ItemTable, RouteOfAHigherVersionLeavesItsOldPlace)
 {
   ItemTable items;
-  ASSERT_TRUE(items.Submit(Change({ MakeRoute("r", 18) })));
+  ASSERT_TRUE(items.CheckAndApply(Change({ MakeRoute("r", 18) })));
   wire::RouteItem moved = MakeRoute("r", 32);
   moved.set_prefix("/elsewhere/");
-  ASSERT_TRUE(items.Submit(Change({ moved })));
+  ASSERT_TRUE(items.CheckAndApply(Change({ moved })));
   ASSERT_EQ(items.Routes().size(), 1U);
   EXPECT_EQ(items.Routes().at("r").prefix(), "/elsewhere/");
   EXPECT_EQ(items.Routes().at("r").version(), 32U);
@@ -305,11 +305,11 @@
 TEST(ItemTable, PlaceOfARouteThatStaysIsKeptThroughARepeatedName)
 {
   ItemTable items;
-  ASSERT_TRUE(Submit(items, Change({ MakeRoute("stays", 1) })));
+  ASSERT_TRUE(CheckAndApply(items, Change({ MakeRoute("stays", 1) })));
   wire::RouteItem older = MakeRoute("moves", 2);
   older.set_prefix("/stays/");
   const wire::RouteItem newer = MakeRoute("moves", 3);
-  ASSERT_TRUE(Submit(items, Change({ older, newer })));
+  ASSERT_TRUE(CheckAndApply(items, Change({ older, newer })));
   wire::RouteItem twin = MakeRoute("twin", 4);
   twin.set_prefix("/stays/");
   EXPECT_EQ(CodeOf(items, Change({ twin })), Code::InvalidRecord);
--- a/src/librattandyke/gateway/load_map.cpp
+++ b/src/librattandyke/gateway/key_load_map.cpp
@@ -1,4 +1,4 @@
-#include "gateway/load_map.h"
+#include "gateway/key_load_map.h"
 
 #include <algorithm>
 #include <cmath>
@@ -27,14 +27,14 @@
 
 } // namespace
 
-LoadMap::LoadMap()
+KeyLoadMap::KeyLoadMap()
   : mBuckets(kBuckets)
   , mSums(kBuckets + 1)
 {
 }
 
 void
-LoadMap::Add(const wire::RangeLoad& aLoad)
+KeyLoadMap::Add(const wire::RangeLoad& aLoad)
 {
   const int count = std::min(aLoad.buckets_size(), aLoad.requests_size());
   for (int i = 0; i < count; ++i) {
@@ -45,7 +45,7 @@
 }
 
 void
-LoadMap::Decay(Instant aNow, size_t aHolders)
+KeyLoadMap::Decay(Instant aNow, size_t aHolders)
 {
   const std::chrono::duration<double> since = aNow - mDecayedAt;
   mDecayedAt = aNow;
@@ -73,7 +73,7 @@
 }
 
 void
-LoadMap::SumUp()
+KeyLoadMap::SumUp()
 {
   double sum = 0;
   for (uint32_t bucket = 0; bucket < kBuckets; ++bucket) {
@@ -85,26 +85,26 @@
 }
 
 double
-LoadMap::PerBucket() const
+KeyLoadMap::PerBucket() const
 {
   return std::max(mSum * kEvenShare, kLeastEvenLoad) / kBuckets;
 }
 
 double
-LoadMap::LoadOf(uint32_t aBucket) const
+KeyLoadMap::BucketLoad(uint32_t aBucket) const
 {
   return mBuckets[aBucket] + PerBucket();
 }
 
 double
-LoadMap::Counted(KeySpan aKeys) const
+KeyLoadMap::Counted(KeySpan aKeys) const
 {
   return mSums[aKeys.to / kKeysPerBucket + 1] -
          mSums[aKeys.from / kKeysPerBucket];
 }
 
 double
-LoadMap::Of(KeySpan aKeys) const
+KeyLoadMap::LoadOf(KeySpan aKeys) const
 {
   const uint32_t buckets =
     aKeys.to / kKeysPerBucket - aKeys.from / kKeysPerBucket + 1;
@@ -112,13 +112,13 @@
 }
 
 double
-LoadMap::Rate(KeySpan aKeys) const
+KeyLoadMap::Rate(KeySpan aKeys) const
 {
   return Counted(aKeys) / mSeconds;
 }
 
 std::vector<KeySpan>
-LoadMap::BusyKeys(KeySpan aKeys, double aASecond) const
+KeyLoadMap::FindHotKeys(KeySpan aKeys, double aASecond) const
 {
   const uint32_t last = aKeys.to / kKeysPerBucket;
   std::vector<KeySpan> busy;
@@ -134,14 +134,14 @@
 }
 
 std::optional<KeySpan>
-LoadMap::TakeBusy(KeySpan aKeys, double aLoad) const
+KeyLoadMap::FindHotRun(KeySpan aKeys, double aLoad) const
 {
   const uint32_t first = (aKeys.from + kKeysPerBucket - 1) / kKeysPerBucket;
   const uint32_t end = (aKeys.to + 1) / kKeysPerBucket;
   std::optional<uint32_t> busiest;
   for (uint32_t bucket = first; bucket < end; ++bucket) {
-    const bool fits = LoadOf(bucket) <= aLoad;
-    if (fits && (!busiest || LoadOf(bucket) > LoadOf(*busiest))) {
+    const bool fits = BucketLoad(bucket) <= aLoad;
+    if (fits && (!busiest || BucketLoad(bucket) > BucketLoad(*busiest))) {
       busiest = bucket;
     }
   }
@@ -150,12 +150,12 @@
   }
   uint32_t low = *busiest;
   uint32_t high = *busiest + 1;
-  double sum = LoadOf(low);
+  double sum = BucketLoad(low);
   // Safeguard: a neighbour that does not fit bounds the run on its side only.
   // Beside a key that alone is too much, a run would else end with its first
   // key, and the holder of that key could give nothing else away.
   const auto fits = [&](uint32_t aBucket) {
-    return sum + LoadOf(aBucket) <= aLoad;
+    return sum + BucketLoad(aBucket) <= aLoad;
   };
   for (;;) {
     const bool below = low > first && fits(low - 1);
@@ -163,11 +163,11 @@
     if (!below && !above) {
       break;
     }
-    if (below && (!above || LoadOf(low - 1) >= LoadOf(high))) {
+    if (below && (!above || BucketLoad(low - 1) >= BucketLoad(high))) {
       --low;
-      sum += LoadOf(low);
+      sum += BucketLoad(low);
     } else {
-      sum += LoadOf(high);
+      sum += BucketLoad(high);
       ++high;
     }
   }
@@ -175,7 +175,7 @@
 }
 
 KeySpan
-LoadMap::Take(KeySpan aKeys, double aLoad) const
+KeyLoadMap::PrefixWithin(KeySpan aKeys, double aLoad) const
 {
   const uint32_t last = aKeys.to / kKeysPerBucket;
   const double even = PerBucket();
--- a/src/librattandyke/gateway/load_map.h
+++ b/src/librattandyke/gateway/key_load_map.h
@@ -18,10 +18,10 @@
 inline constexpr uint32_t kKeysPerBucket = 1;
 
 /// Requests a second of each key, as a moving average. Not thread-safe.
-class LoadMap
+class KeyLoadMap
 {
 public:
-  LoadMap();
+  KeyLoadMap();
 
   /// Adds the requests of a report.
   void Add(const wire::RangeLoad& aLoad);
@@ -33,29 +33,29 @@
 
   /// @return load of the keys: their requests, and a little for each key, so
   /// that keys without requests are spread, too.
-  double Of(KeySpan aKeys) const;
+  double LoadOf(KeySpan aKeys) const;
 
-  double Total() const { return Of({ 0, kMaxKey }); }
+  double TotalLoad() const { return LoadOf({ 0, kMaxKey }); }
 
   /// @return requests a second for the keys.
   double Rate(KeySpan aKeys) const;
 
   /// @return the longest run of keys from the start of aKeys whose load is at
   /// most aLoad; at least one bucket.
-  KeySpan Take(KeySpan aKeys, double aLoad) const;
+  KeySpan PrefixWithin(KeySpan aKeys, double aLoad) const;
 
   /// @return a run of few keys within aKeys whose load is at most aLoad and
   /// near it, around the busiest bucket that fits; nothing if none fits.
-  std::optional<KeySpan> TakeBusy(KeySpan aKeys, double aLoad) const;
+  std::optional<KeySpan> FindHotRun(KeySpan aKeys, double aLoad) const;
 
   /// @return the buckets within aKeys that each alone get so many requests a
   /// second, or more.
-  std::vector<KeySpan> BusyKeys(KeySpan aKeys, double aASecond) const;
+  std::vector<KeySpan> FindHotKeys(KeySpan aKeys, double aASecond) const;
 
 private:
   double Counted(KeySpan aKeys) const;
   double PerBucket() const;
-  double LoadOf(uint32_t aBucket) const;
+  double BucketLoad(uint32_t aBucket) const;
   void SumUp();
 
   std::vector<float> mBuckets;
--- a/src/librattandyke/gateway/load_map_test.cpp
+++ b/src/librattandyke/gateway/key_load_map_test.cpp
@@ -1,4 +1,4 @@
-#include "gateway/load_map.h"
+#include "gateway/key_load_map.h"
 
 #include <cmath>
 #include <random>
@@ -13,7 +13,7 @@
 constexpr Duration kTick = milliseconds{ 100 };
 constexpr size_t kHolders = 12;
 
-class LoadMapTest : public ::testing::Test
+class KeyLoadMapTest : public ::testing::Test
 {
 protected:
   /// Requests for one key at a steady rate, in reports of 200 ms.
@@ -35,7 +35,7 @@
   }
 
   Instant now{ std::chrono::hours{ 1 } };
-  LoadMap map;
+  KeyLoadMap map;
   double due = 0;
   int ticks = 0;
 };
@@ -44,7 +44,7 @@
 // at random. The load that is seen of each must not stray from its share by
 // more than twenty requests do by chance, or keys are moved for nothing, and
 // are without an owner meanwhile.
-TEST_F(LoadMapTest, SharesOfManyHoldersAreToldApart)
+TEST_F(KeyLoadMapTest, SharesOfManyHoldersAreToldApart)
 {
   constexpr size_t kMany = 400;
   constexpr uint32_t kKeys = kKeyCount / kMany;
@@ -63,11 +63,11 @@
     map.Add(load);
     map.Decay(now, kMany);
   }
-  const double mean = map.Of({ 0, kKeys * kMany - 1 }) / kMany;
+  const double mean = map.LoadOf({ 0, kKeys * kMany - 1 }) / kMany;
   double squares = 0;
   for (uint32_t holder = 0; holder < kMany; ++holder) {
     const double share =
-      map.Of({ holder * kKeys, (holder + 1) * kKeys - 1 }) / mean - 1;
+      map.LoadOf({ holder * kKeys, (holder + 1) * kKeys - 1 }) / mean - 1;
     squares += share * share;
   }
   EXPECT_LE(std::sqrt(squares / kMany), mostDeviation);
@@ -76,14 +76,14 @@
 // A key is busy from the first request on. Its holder is overrun, and must not
 // look like an idle one because the first requests are divided by the whole
 // time of the average: keys are moved only from holders that are busy.
-TEST_F(LoadMapTest, FirstRequestsAreNotDiluted)
+TEST_F(KeyLoadMapTest, FirstRequestsAreNotDiluted)
 {
   Come(7, 200, milliseconds{ 800 });
   EXPECT_GT(map.Rate({ 7, 7 }), 140);
   EXPECT_LT(map.Rate({ 7, 7 }), 260);
 }
 
-TEST_F(LoadMapTest, RateIsThatOfTheRequests)
+TEST_F(KeyLoadMapTest, RateIsThatOfTheRequests)
 {
   Come(7, 200, std::chrono::seconds{ 6 });
   EXPECT_NEAR(map.Rate({ 7, 7 }), 200, 30);
@@ -93,7 +93,7 @@
 
 // Nothing comes for a while, then a key is busy at once: the silence before is
 // not a part of its average.
-TEST_F(LoadMapTest, LoadAfterASilenceIsNotDiluted)
+TEST_F(KeyLoadMapTest, LoadAfterASilenceIsNotDiluted)
 {
   Come(7, 200, std::chrono::seconds{ 3 });
   Come(7, 0, std::chrono::seconds{ 60 });
@@ -104,27 +104,29 @@
 
 // A holder must know which of its keys overrun it alone, and not count one that
 // lies beside its range.
-TEST_F(LoadMapTest, BusyKeysAreThoseOfTheRangeThatAreBusyAlone)
+TEST_F(KeyLoadMapTest, BusyKeysAreThoseOfTheRangeThatAreBusyAlone)
 {
   Come(1000, 200, std::chrono::seconds{ 3 });
-  const auto busy = map.BusyKeys({ 900, 1000 }, 150);
+  const auto busy = map.FindHotKeys({ 900, 1000 }, 150);
   ASSERT_EQ(busy.size(), 1U);
   EXPECT_EQ(busy.front().from, 1000U);
   EXPECT_EQ(busy.front().to, 1000U);
-  EXPECT_TRUE(map.BusyKeys({ 900, 1000 }, 250).empty());
-  EXPECT_TRUE(map.BusyKeys({ 1001, 2000 }, 150).empty());
+  EXPECT_TRUE(map.FindHotKeys({ 900, 1000 }, 250).empty());
+  EXPECT_TRUE(map.FindHotKeys({ 1001, 2000 }, 150).empty());
 }
 
 // One key is more than its holder can take. The holder is to give its other
 // keys away in runs that are worth a move, also those beside that key.
-TEST_F(LoadMapTest, RunBesideAKeyThatIsTooMuchGoesOnAwayFromIt)
+TEST_F(KeyLoadMapTest, RunBesideAKeyThatIsTooMuchGoesOnAwayFromIt)
 {
   Come(1000, 200, std::chrono::seconds{ 3 });
-  const auto run = map.TakeBusy({ 1000, 9000 }, map.Of({ 1000, 1000 }) / 2);
+  const auto run =
+    map.FindHotRun({ 1000, 9000 }, map.LoadOf({ 1000, 1000 }) / 2);
   ASSERT_TRUE(run);
   EXPECT_EQ(run->from, 1001U);
   EXPECT_GT(run->Size(), 1000U);
-  const auto before = map.TakeBusy({ 100, 1000 }, map.Of({ 1000, 1000 }) / 2);
+  const auto before =
+    map.FindHotRun({ 100, 1000 }, map.LoadOf({ 1000, 1000 }) / 2);
   ASSERT_TRUE(before);
   EXPECT_EQ(before->to, 999U);
   EXPECT_GT(before->Size(), 100U);
--- a/src/librattandyke/gateway/link_budget.cpp
+++ b/src/librattandyke/gateway/link_budget.cpp
@@ -80,7 +80,7 @@
 }
 
 void
-AnswerSizes::Note(const std::string& aRoute, size_t aBytes)
+ResponseSizes::Note(const std::string& aRoute, size_t aBytes)
 {
   const auto [at, added] =
     mSizes.try_emplace(aRoute, static_cast<double>(aBytes));
@@ -90,7 +90,7 @@
 }
 
 size_t
-AnswerSizes::Of(const std::string& aRoute) const
+ResponseSizes::Of(const std::string& aRoute) const
 {
   const auto found = mSizes.find(aRoute);
   return static_cast<size_t>(found == mSizes.end() ? kDefaultSize
--- a/src/librattandyke/gateway/link_budget.h
+++ b/src/librattandyke/gateway/link_budget.h
@@ -60,7 +60,7 @@
 };
 
 /// How long answers are, by the name of their route. Not thread-safe.
-class AnswerSizes
+class ResponseSizes
 {
 public:
   void Note(const std::string& aRoute, size_t aBytes);
--- a/src/librattandyke/gateway/link_budget_test.cpp
+++ b/src/librattandyke/gateway/link_budget_test.cpp
@@ -65,9 +65,9 @@
   EXPECT_FALSE(budget.Admit(1, 4000, 5000, kInTime, now));
 }
 
-TEST(AnswerSizes, FollowsTheAnswersOfARoute)
+TEST(ResponseSizes, FollowsTheAnswersOfARoute)
 {
-  AnswerSizes sizes;
+  ResponseSizes sizes;
   EXPECT_GT(sizes.Of("r"), 0U);
   sizes.Note("r", 100);
   EXPECT_EQ(sizes.Of("r"), 100U);
--- a/src/librattandyke/gateway/metrics.cpp
+++ b/src/librattandyke/gateway/metrics.cpp
@@ -38,7 +38,7 @@
 } // namespace
 
 void
-Metrics::Count(std::string_view aName, std::string_view aLabel)
+Metrics::Increment(std::string_view aName, std::string_view aLabel)
 {
   ++mCounts[std::string(aName)][std::string(aLabel)];
 }
@@ -56,7 +56,7 @@
 }
 
 std::string
-Metrics::Page() const
+Metrics::PrometheusText() const
 {
   std::ostringstream page;
   for (const auto& [name, counts] : mCounts) {
--- a/src/librattandyke/gateway/metrics.h
+++ b/src/librattandyke/gateway/metrics.h
@@ -17,7 +17,7 @@
 {
 public:
   /// @param aLabel "key=\"value\"", or empty.
-  void Count(std::string_view aName, std::string_view aLabel = {});
+  void Increment(std::string_view aName, std::string_view aLabel = {});
 
   void Observe(std::string_view aName, Duration aTime);
 
@@ -25,7 +25,7 @@
   void Set(std::string_view aName, double aValue);
 
   /// @return all of it in Prometheus' text format.
-  std::string Page() const;
+  std::string PrometheusText() const;
 
 private:
   std::map<std::string, std::map<std::string, uint64_t>> mCounts;
--- a/src/librattandyke/gateway/metrics_test.cpp
+++ b/src/librattandyke/gateway/metrics_test.cpp
@@ -8,12 +8,12 @@
 TEST(GatewayMetrics, PageShowsCountsValuesAndTimes)
 {
   Metrics metrics;
-  metrics.Count("requests", "status=\"200\"");
-  metrics.Count("requests", "status=\"200\"");
-  metrics.Count("connects");
+  metrics.Increment("requests", "status=\"200\"");
+  metrics.Increment("requests", "status=\"200\"");
+  metrics.Increment("connects");
   metrics.Set("state_index", 7);
   metrics.Observe("request", std::chrono::milliseconds{ 20 });
-  const std::string page = metrics.Page();
+  const std::string page = metrics.PrometheusText();
   const auto has = [&](const std::string& aLine) {
     EXPECT_NE(page.find(aLine + "\n"), std::string::npos) << aLine;
   };
@@ -30,7 +30,7 @@
   Metrics metrics;
   metrics.Observe("request", std::chrono::microseconds{ 1 });
   metrics.Observe("request", std::chrono::seconds{ 1000 });
-  const std::string page = metrics.Page();
+  const std::string page = metrics.PrometheusText();
   EXPECT_NE(page.find("le=\"0.0001\"} 1\n"), std::string::npos);
   EXPECT_NE(page.find("le=\"100\"} 1\n"), std::string::npos);
   EXPECT_NE(page.find("le=\"+Inf\"} 2\n"), std::string::npos);
--- a/src/librattandyke/gateway/packed_frame.cpp
+++ b/src/librattandyke/gateway/outgoing_frame.cpp
@@ -1,4 +1,4 @@
-#include "gateway/packed_frame.h"
+#include "gateway/outgoing_frame.h"
 
 #include <zlib.h>
 
@@ -40,7 +40,7 @@
 } // namespace
 
 const std::string&
-OutgoingFrame::Packed()
+OutgoingFrame::Compressed()
 {
   if (mPlain.size() < kWorthPacking) {
     return mPlain;
@@ -56,7 +56,7 @@
 }
 
 std::optional<wire::GatewayFrame>
-UnpackFrame(const wire::PackedFrame& aPacked)
+DecompressFrame(const wire::PackedFrame& aPacked)
 {
   if (aPacked.size() > net::FrameConnection::kMaxMessageBytes) {
     return std::nullopt;
--- a/src/librattandyke/gateway/packed_frame.h
+++ b/src/librattandyke/gateway/outgoing_frame.h
@@ -29,7 +29,7 @@
 
   /// @return a frame that holds this one compressed, or this one if it is too
   /// short for that.
-  const std::string& Packed();
+  const std::string& Compressed();
 
 private:
   std::string mPlain;
@@ -38,6 +38,7 @@
 
 /// @return the frame in it; nothing if it can't be read, holds a packed frame
 /// again or is longer than any frame may be.
-std::optional<wire::GatewayFrame> UnpackFrame(const wire::PackedFrame& aPacked);
+std::optional<wire::GatewayFrame> DecompressFrame(
+  const wire::PackedFrame& aPacked);
 
 } // namespace rattandyke::gateway
--- a/src/librattandyke/gateway/packed_frame_test.cpp
+++ b/src/librattandyke/gateway/outgoing_frame_test.cpp
@@ -1,4 +1,4 @@
-#include "gateway/packed_frame.h"
+#include "gateway/outgoing_frame.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -23,14 +23,14 @@
   wire::GatewayFrame outer;
   EXPECT_TRUE(outer.ParseFromString(aBytes));
   EXPECT_TRUE(outer.has_packed());
-  return UnpackFrame(outer.packed());
+  return DecompressFrame(outer.packed());
 }
 
 TEST(PackedFrameTest, LongFrameComesBackAsItWas)
 {
   const wire::GatewayFrame frame = FrameOf(1400);
   OutgoingFrame outgoing(frame);
-  const auto back = Unpacked(outgoing.Packed());
+  const auto back = Unpacked(outgoing.Compressed());
   ASSERT_TRUE(back);
   EXPECT_EQ(back->SerializeAsString(), outgoing.Plain());
 }
@@ -40,13 +40,13 @@
 TEST(PackedFrameTest, RoutesAreAThirdOfTheirSizeOrLess)
 {
   OutgoingFrame outgoing(FrameOf(1400));
-  EXPECT_LE(outgoing.Packed().size() * 3, outgoing.Plain().size());
+  EXPECT_LE(outgoing.Compressed().size() * 3, outgoing.Plain().size());
 }
 
 TEST(PackedFrameTest, ShortFrameStaysAsItIs)
 {
   OutgoingFrame outgoing(FrameOf(3));
-  EXPECT_EQ(outgoing.Packed(), outgoing.Plain());
+  EXPECT_EQ(outgoing.Compressed(), outgoing.Plain());
 }
 
 // A packed frame in a packed frame could be made to unfold without end.
@@ -54,16 +54,16 @@
 {
   OutgoingFrame inner(FrameOf(1400));
   wire::GatewayFrame middle;
-  ASSERT_TRUE(middle.ParseFromString(inner.Packed()));
+  ASSERT_TRUE(middle.ParseFromString(inner.Compressed()));
   OutgoingFrame outer(middle);
-  EXPECT_FALSE(Unpacked(outer.Packed()));
+  EXPECT_FALSE(Unpacked(outer.Compressed()));
 }
 
 RC_GTEST_PROP(PackedFrameTest, DamagedFrameIsNeverReadAsAnother, ())
 {
   OutgoingFrame outgoing(FrameOf(60));
   wire::GatewayFrame outer;
-  RC_ASSERT(outer.ParseFromString(outgoing.Packed()));
+  RC_ASSERT(outer.ParseFromString(outgoing.Compressed()));
   wire::PackedFrame& packed = *outer.mutable_packed();
   const auto at = *rc::gen::inRange<size_t>(0, packed.bytes().size());
   if (*rc::gen::arbitrary<bool>()) {
@@ -73,7 +73,7 @@
   } else {
     (*packed.mutable_bytes())[at] ^= *rc::gen::inRange(1, 0x100);
   }
-  const auto read = UnpackFrame(packed);
+  const auto read = DecompressFrame(packed);
   const bool same = read && read->SerializeAsString() == outgoing.Plain();
   RC_ASSERT(same || !read.has_value());
 }
--- a/src/librattandyke/gateway/range_assigner.h
+++ b/src/librattandyke/gateway/range_assigner.h
@@ -14,7 +14,7 @@
 
 #include "gateway/dialect.h"
 #include "gateway/heartbeat.h"
-#include "gateway/load_map.h"
+#include "gateway/key_load_map.h"
 #include "gateway/owner_index.h"
 #include "gateway/state.h"
 #include "wire/gateway.pb.h"
@@ -161,7 +161,7 @@
   /// Load and capacity of an instance.
   struct OwnerLoad
   {
-    /// Load of its keys, see LoadMap::Of.
+    /// Load of its keys, see KeyLoadMap::Of.
     double load = 0;
     /// Throughput relative to the mean of the service's active instances,
     /// within bounds.
@@ -179,7 +179,7 @@
   /// Unreplicated planning data on one service.
   struct ServicePlan
   {
-    LoadMap load;
+    KeyLoadMap load;
     OwnerIndex index;
     /// First time at which an active instance could have been granted keys.
     std::optional<Instant> firstCandidateAt;
--- a/src/librattandyke/gateway/range_assigner_loads.cpp
+++ b/src/librattandyke/gateway/range_assigner_loads.cpp
@@ -138,7 +138,7 @@
     if (found == ownerLoads.end()) {
       return;
     }
-    found->second.load += plan->second.load.Of(aKeys);
+    found->second.load += plan->second.load.LoadOf(aKeys);
     found->second.utilization +=
       plan->second.load.Rate(aKeys) * found->second.utilizationPerRequest;
   };
@@ -153,7 +153,7 @@
 double
 RangeAssigner::BalancedLoad(const ServicePlan& aPlan)
 {
-  return aPlan.load.Total() / std::max(aPlan.totalSpeed, kMinSpeed);
+  return aPlan.load.TotalLoad() / std::max(aPlan.totalSpeed, kMinSpeed);
 }
 
 void
--- a/src/librattandyke/gateway/range_assigner_moves.cpp
+++ b/src/librattandyke/gateway/range_assigner_moves.cpp
@@ -147,7 +147,7 @@
     }
     if (const auto keys =
           ChooseKeysToMove(id, *ranges, plan, excluded, targetLoad)) {
-      source.load -= plan.load.Of(*keys);
+      source.load -= plan.load.LoadOf(*keys);
       revoked.push_back(*keys);
       excluded.push_back(*keys);
     }
@@ -227,13 +227,13 @@
   for (const uint32_t key : aPlan.index.OwnedBy(aId)) {
     const wire::RangeSegment& segment = aRanges.Find(key);
     if (!segment.held_back()) {
-      const auto busy = aPlan.load.BusyKeys(
+      const auto busy = aPlan.load.FindHotKeys(
         SpanOf(segment), kHotKeyUtilization / aUtilizationPerRequest);
       keys.insert(keys.end(), busy.begin(), busy.end());
     }
   }
   std::sort(keys.begin(), keys.end(), [&](KeySpan aOne, KeySpan aOther) {
-    return aPlan.load.Of(aOne) < aPlan.load.Of(aOther);
+    return aPlan.load.LoadOf(aOne) < aPlan.load.LoadOf(aOther);
   });
   return keys;
 }
@@ -298,7 +298,7 @@
   if (target == aOwners.end()) {
     return;
   }
-  const double load = plan.load.Of(*key);
+  const double load = plan.load.LoadOf(*key);
   const double speedup = target->second.speed / source.speed;
   const bool worthwhile = hotKeys.size() > 1
                             ? speedup * static_cast<double>(hotKeys.size()) > 1
@@ -412,13 +412,13 @@
                               Duration aFreeFor,
                               bool aFirstGrant)
 {
-  const double load = aPlan.load.Of(aFree);
+  const double load = aPlan.load.LoadOf(aFree);
   if (aCandidate.load + load <= kWholeRangeTolerance * aShare) {
     return aFree;
   }
   if (aFirstGrant) {
     const double room = aShare * kShareTolerance - aCandidate.load;
-    return room > 0 ? std::optional(aPlan.load.Take(aFree, room))
+    return room > 0 ? std::optional(aPlan.load.PrefixWithin(aFree, room))
                     : std::nullopt;
   }
   if (aFreeFor < kSplitAfter) {
@@ -427,7 +427,7 @@
   const double part = aFreeFor < kForceAfter ? kSplitShare : kForcedShare;
   const double room =
     std::max(aShare * kShareTolerance - aCandidate.load, aShare * part);
-  return aPlan.load.Take(aFree, room);
+  return aPlan.load.PrefixWithin(aFree, room);
 }
 
 /// While one grant is being committed, heartbeats of hundreds of other
@@ -540,7 +540,7 @@
         }
         keys = *part;
       }
-      candidate.load += plan.load.Of(keys);
+      candidate.load += plan.load.LoadOf(keys);
       AddPendingGrant(plan, keys, aNow);
       wire::KeyRange* range = grant->add_ranges();
       range->set_from(keys.from);
@@ -568,11 +568,11 @@
                                 double aTargetLoad)
 {
   std::optional<KeySpan> best;
-  const LoadMap& load = aPlan.load;
+  const KeyLoadMap& load = aPlan.load;
   for (const uint32_t key : aPlan.index.OwnedBy(aOwner)) {
     for (const KeySpan& keys : Subtract(SpanOf(aRanges.Find(key)), aExcluded)) {
-      const auto run = load.TakeBusy(keys, aTargetLoad);
-      if (run && (!best || load.Of(*run) > load.Of(*best))) {
+      const auto run = load.FindHotRun(keys, aTargetLoad);
+      if (run && (!best || load.LoadOf(*run) > load.LoadOf(*best))) {
         best = run;
       }
     }
--- a/src/librattandyke/gateway/request_context.cpp
+++ b/src/librattandyke/gateway/request_context.cpp
@@ -19,7 +19,7 @@
 }
 
 void
-RequestContext::CallerLeft()
+RequestContext::OnCallerDisconnected()
 {
   mLeft = true;
   Abort(kCallerLeft);
@@ -35,17 +35,17 @@
 /// Safeguard: taken for silent, an upstream that was at work would be avoided
 /// by all hosts for a fault that was none.
 void
-RequestContext::HostEnds()
+RequestContext::OnHostShutdown()
 {
   mHostEnds = true;
   Expire();
 }
 
 void
-RequestContext::Attach(std::shared_ptr<ExchangeHandle> aHandle)
+RequestContext::Attach(std::shared_ptr<AttemptHandle> aHandle)
 {
   mHandle = std::move(aHandle);
-  if (IsOver()) {
+  if (IsCancelled()) {
     mHandle->Abort(mLeft ? kCallerLeft : kNoAnswer);
   }
 }
--- a/src/librattandyke/gateway/request_context.h
+++ b/src/librattandyke/gateway/request_context.h
@@ -5,7 +5,7 @@
 
 #include <boost/asio/steady_timer.hpp>
 
-#include "gateway/exchange.h"
+#include "gateway/upstream_client.h"
 
 namespace rattandyke::gateway {
 
@@ -19,36 +19,36 @@
   }
 
   /// The caller has closed its connection.
-  void CallerLeft();
+  void OnCallerDisconnected();
 
   /// The request's time is up.
   void Expire();
 
   /// The host ends: the request's time is up, whoever works on it.
-  void HostEnds();
+  void OnHostShutdown();
 
-  bool IsOver() const { return mLeft || mExpired; }
-  bool HasLeft() const { return mLeft; }
+  bool IsCancelled() const { return mLeft || mExpired; }
+  bool HasCallerDisconnected() const { return mLeft; }
 
   /// @return whether the work was given up for a reason that says nothing of
   /// the upstream that it was sent to.
-  bool IsAbandoned() const { return mLeft || mHostEnds; }
+  bool IsCancelledByCallerOrHost() const { return mLeft || mHostEnds; }
 
   bool HasExpired() const { return mExpired; }
 
   /// A try begins, which ends with the request.
-  void Attach(std::shared_ptr<ExchangeHandle> aHandle);
+  void Attach(std::shared_ptr<AttemptHandle> aHandle);
   void Detach() { mHandle.reset(); }
 
   /// What the one who works on the request waits on; cancelled when there is
   /// news.
-  boost::asio::steady_timer& Wake() { return mWake; }
+  boost::asio::steady_timer& WakeTimer() { return mWake; }
 
 private:
   void Abort(const char* aReason);
 
   boost::asio::steady_timer mWake;
-  std::shared_ptr<ExchangeHandle> mHandle;
+  std::shared_ptr<AttemptHandle> mHandle;
   bool mLeft = false;
   bool mExpired = false;
   bool mHostEnds = false;
--- a/src/librattandyke/gateway/request_handler.cpp
+++ b/src/librattandyke/gateway/request_handler.cpp
@@ -4,7 +4,7 @@
 #include <charconv>
 #include <cstdio>
 
-#include "gateway/load_map.h"
+#include "gateway/key_load_map.h"
 #include "gateway/retry_share.h"
 #include "http/headers.h"
 #include "http/signal.h"
@@ -93,38 +93,38 @@
 }
 
 std::string_view
-TryLabel(ExchangeResult::Kind aKind)
+TryLabel(AttemptResult::Kind aKind)
 {
   switch (aKind) {
-    case ExchangeResult::Kind::Answer:
+    case AttemptResult::Kind::Answer:
       return "end=\"answer\"";
-    case ExchangeResult::Kind::NotRun:
+    case AttemptResult::Kind::NotRun:
       return "end=\"not_run\"";
-    case ExchangeResult::Kind::NotSent:
+    case AttemptResult::Kind::NotSent:
       return "end=\"not_sent\"";
-    case ExchangeResult::Kind::Unknown:
+    case AttemptResult::Kind::Unknown:
       return "end=\"unknown\"";
   }
   return {};
 }
 
-TryEnd
-EndOf(const ExchangeResult& aResult, bool aAbandoned)
+AttemptOutcome
+EndOf(const AttemptResult& aResult, bool aAbandoned)
 {
   if (aAbandoned) {
-    return TryEnd::Abandoned;
+    return AttemptOutcome::Abandoned;
   }
   switch (aResult.kind) {
-    case ExchangeResult::Kind::Answer:
-      return TryEnd::Answered;
-    case ExchangeResult::Kind::NotRun:
-      return TryEnd::Refused;
-    case ExchangeResult::Kind::NotSent:
-      return TryEnd::Unreachable;
-    case ExchangeResult::Kind::Unknown:
-      return aResult.silent ? TryEnd::Silent : TryEnd::Broken;
+    case AttemptResult::Kind::Answer:
+      return AttemptOutcome::Answered;
+    case AttemptResult::Kind::NotRun:
+      return AttemptOutcome::Refused;
+    case AttemptResult::Kind::NotSent:
+      return AttemptOutcome::Unreachable;
+    case AttemptResult::Kind::Unknown:
+      return aResult.silent ? AttemptOutcome::TimedOut : AttemptOutcome::Broken;
   }
-  return TryEnd::Abandoned;
+  return AttemptOutcome::Abandoned;
 }
 
 } // namespace
@@ -132,7 +132,7 @@
 RequestHandler::RequestHandler(asio::any_io_executor aExecutor,
                                Options aOptions,
                                const FeedClient& aFeed,
-                               SlotDesk& aDesk,
+                               SlotCoordinator& aDesk,
                                const Dialect& aDialect,
                                const Clock& aClock)
   : mExecutor(aExecutor)
@@ -152,7 +152,7 @@
 void
 RequestHandler::StateChanged(const wire::GatewayCommand* aCommand)
 {
-  const ItemTable& items = mFeed.Known().Items();
+  const ItemTable& items = mFeed.CurrentState().Items();
   if (aCommand == nullptr) {
     mRoutes.Update(items);
   } else if (aCommand->has_change_items()) {
@@ -166,7 +166,7 @@
 {
   for (const auto& waiter : mWaiters) {
     if (const auto context = waiter.lock()) {
-      context->Wake().cancel();
+      context->WakeTimer().cancel();
     }
   }
 }
@@ -178,7 +178,7 @@
 }
 
 wire::FeedReport
-RequestHandler::TakeLoads()
+RequestHandler::TakeLoadReport()
 {
   wire::FeedReport report;
   for (const auto& [service, buckets] : mKeyLoads) {
@@ -190,7 +190,7 @@
     }
   }
   mKeyLoads.clear();
-  for (const auto& [instance, seconds] : mDesk.TakeNewTimes()) {
+  for (const auto& [instance, seconds] : mDesk.TakeChangedResponseSeconds()) {
     wire::InstanceTime* time = report.add_times();
     time->set_instance(instance);
     time->set_seconds(seconds);
@@ -201,7 +201,7 @@
 void
 RequestHandler::Sweep()
 {
-  const State& state = mFeed.Known();
+  const State& state = mFeed.CurrentState();
   mExchanger.Pool().Sweep(mClock.Now(), [&](const std::string& aInstance) {
     return state.FindInstance(aInstance) != nullptr;
   });
@@ -210,7 +210,7 @@
 bool
 RequestHandler::OwnsKeys(const std::string& aService) const
 {
-  const auto& services = mFeed.Known().Items().Services();
+  const auto& services = mFeed.CurrentState().Items().Services();
   const auto found = services.find(aService);
   return found != services.end() && found->second.owns_keys();
 }
@@ -220,8 +220,8 @@
 {
   auto& budget = mBudgets[aService];
   const entry::RetryBudget::Settings share =
-    ShareOf({ mOptions.retryRatio, mOptions.retrySlack },
-            mFeed.Known().Entries().size());
+    RetryShareOf({ mOptions.retryRatio, mOptions.retrySlack },
+                 mFeed.CurrentState().Entries().size());
   if (!budget) {
     budget = std::make_unique<entry::RetryBudget>(share);
   }
@@ -229,11 +229,11 @@
   return *budget;
 }
 
-std::shared_ptr<const OutgoingRequest>
+std::shared_ptr<const UpstreamRequest>
 RequestHandler::Outgoing(const CallerRequest& aRequest,
                          const std::string& aId) const
 {
-  auto outgoing = std::make_shared<OutgoingRequest>();
+  auto outgoing = std::make_shared<UpstreamRequest>();
   outgoing->method = aRequest.method;
   outgoing->target = aRequest.target;
   outgoing->body = aRequest.body;
@@ -255,7 +255,7 @@
 CallerLimits
 RequestHandler::Limits() const
 {
-  const wire::LimitsItem& limits = mFeed.Known().Items().Limits();
+  const wire::LimitsItem& limits = mFeed.CurrentState().Items().Limits();
   const auto orElse = [](auto aValue, auto aDefault) {
     return aValue == 0 ? aDefault : aValue;
   };
@@ -275,25 +275,25 @@
 void
 RequestHandler::CountEnd(std::string_view aReason)
 {
-  mMetrics.Count("connections_ended",
-                 "reason=\"" + std::string(aReason) + "\"");
+  mMetrics.Increment("connections_ended",
+                     "reason=\"" + std::string(aReason) + "\"");
 }
 
-asio::awaitable<CallerAnswer>
+asio::awaitable<CallerResponse>
 RequestHandler::Handle(std::shared_ptr<RequestContext> aContext,
                        CallerRequest aRequest)
 {
   const Instant arrived = aRequest.arrived;
   mLink.NoteReceived(aRequest.body.size() + kRequestLine, arrived);
-  CallerAnswer answer = co_await Answer(aContext, std::move(aRequest));
+  CallerResponse answer = co_await Answer(aContext, std::move(aRequest));
   const size_t bytes = answer.fields.size() + answer.body.size();
   if (answer.due > Instant{}) {
     co_await AwaitEgress(std::move(aContext), bytes, answer.due);
   } else {
-    NoteSent(bytes);
+    RecordSent(bytes);
   }
-  mMetrics.Count("requests",
-                 "status=\"" + std::to_string(answer.status) + "\"");
+  mMetrics.Increment("requests",
+                     "status=\"" + std::to_string(answer.status) + "\"");
   mMetrics.Observe("request", mClock.Now() - arrived);
   co_return answer;
 }
@@ -301,17 +301,17 @@
 std::string
 RequestHandler::MetricsPage()
 {
-  const State& state = mFeed.Known();
+  const State& state = mFeed.CurrentState();
   mMetrics.Set("state_index", static_cast<double>(state.Applied().value));
   mMetrics.Set("state_age_seconds",
-               std::chrono::duration<double>(mFeed.Age()).count());
+               std::chrono::duration<double>(mFeed.StateAge()).count());
   mMetrics.Set("entries", static_cast<double>(state.Entries().size()));
   mMetrics.Set("upstreams", static_cast<double>(state.Instances().size()));
   mMetrics.Set("upstream_connects", static_cast<double>(mExchanger.Connects()));
-  return mMetrics.Page();
+  return mMetrics.PrometheusText();
 }
 
-asio::awaitable<CallerAnswer>
+asio::awaitable<CallerResponse>
 RequestHandler::Answer(std::shared_ptr<RequestContext> aContext,
                        CallerRequest aRequest)
 {
@@ -341,8 +341,8 @@
   flow.route = mRoutes.Find(host, path);
   if (!flow.route) {
     Line(id) << "no route host=" << host << " path=" << path
-             << " index=" << mFeed.Known().Applied().value
-             << " age_ms=" << Ms(mFeed.Age());
+             << " index=" << mFeed.CurrentState().Applied().value
+             << " age_ms=" << Ms(mFeed.StateAge());
     co_return Own(kNotFound, id, "no route matches");
   }
   flow.context = std::move(aContext);
@@ -364,7 +364,7 @@
 bool
 RequestHandler::HasState() const
 {
-  return mFeed.HasState() && !mFeed.Known().Items().IsEmpty();
+  return mFeed.HasState() && !mFeed.CurrentState().Items().IsEmpty();
 }
 
 asio::awaitable<void>
@@ -372,8 +372,8 @@
                             Instant aUntil)
 {
   const auto place = mWaiters.insert(mWaiters.end(), aContext);
-  aContext->Wake().expires_after(aUntil - mClock.Now());
-  co_await aContext->Wake().async_wait(kAwait);
+  aContext->WakeTimer().expires_after(aUntil - mClock.Now());
+  co_await aContext->WakeTimer().async_wait(kAwait);
   mWaiters.erase(place);
 }
 
@@ -385,7 +385,7 @@
 RequestHandler::AwaitState(std::shared_ptr<RequestContext> aContext,
                            Instant aUntil)
 {
-  while (!HasState() && !aContext->IsOver() && mClock.Now() < aUntil) {
+  while (!HasState() && !aContext->IsCancelled() && mClock.Now() < aUntil) {
     co_await AwaitChange(aContext, aUntil);
   }
 }
@@ -397,10 +397,11 @@
   for (;;) {
     const Instant now = mClock.Now();
     std::string owner = mDesk.Broker().Upstreams().OwnerOf(
-      mFeed.Known(), aFlow.service, *aFlow.key, now);
+      mFeed.CurrentState(), aFlow.service, *aFlow.key, now);
     // Without an upstream that could take the key there is nothing to wait for.
     const bool vain = !mDesk.Broker().Upstreams().CanServe(aFlow.service);
-    if (!owner.empty() || vain || now >= giveUp || aFlow.context->IsOver()) {
+    if (!owner.empty() || vain || now >= giveUp ||
+        aFlow.context->IsCancelled()) {
       co_return owner;
     }
     co_await AwaitChange(aFlow.context, giveUp);
@@ -410,9 +411,9 @@
 Instant
 RequestHandler::PatienceEnd(const Flow& aFlow) const
 {
-  const auto patience =
+  const auto maxWait =
     std::chrono::duration_cast<Duration>(aFlow.route->objective * kWaitPart);
-  return std::min(aFlow.arrived + patience,
+  return std::min(aFlow.arrived + maxWait,
                   aFlow.deadline - Duration(kLeastTry));
 }
 
@@ -425,7 +426,7 @@
     return false;
   }
   return mDesk.Broker().Upstreams().OwnerOf(
-           mFeed.Known(), aFlow.service, *aFlow.key, mClock.Now()) !=
+           mFeed.CurrentState(), aFlow.service, *aFlow.key, mClock.Now()) !=
          aFlow.owner;
 }
 
@@ -438,8 +439,8 @@
     request.instance = co_await AwaitOwner(aFlow);
     aFlow.owner = request.instance;
     if (request.instance.empty()) {
-      co_return NoSlot{ UpstreamSet::Hindrance::NoOwner,
-                        Duration(kRetryAfterNoOwner) };
+      co_return SlotUnavailable{ UpstreamSet::UnavailableReason::NoOwner,
+                                 Duration(kRetryAfterNoOwner) };
     }
   } else {
     request.excluded = aFlow.tried;
@@ -447,31 +448,33 @@
   const Instant now = mClock.Now();
   mMetrics.Observe("owner_wait", now - aFlow.arrived);
   request.priority = aFlow.route->priority;
-  request.patience = std::max(PatienceEnd(aFlow) - now, Duration::zero());
-  request.aim = std::max<Duration>(
+  request.maxWait = std::max(PatienceEnd(aFlow) - now, Duration::zero());
+  request.timeToObjective = std::max<Duration>(
     aFlow.arrived + Duration(aFlow.route->objective) - now, milliseconds{ 1 });
-  request.held = std::max(aFlow.deadline - now, Duration::zero());
+  request.maxHold = std::max(aFlow.deadline - now, Duration::zero());
   request.dataCentre = mOptions.dataCentre;
   co_return co_await mDesk.Acquire(aFlow.context, std::move(request));
 }
 
-asio::awaitable<ExchangeResult>
+asio::awaitable<AttemptResult>
 RequestHandler::Try(Flow& aFlow, const Slot& aSlot)
 {
   const Slot slot = aSlot;
-  auto handle = std::make_shared<ExchangeHandle>();
+  auto handle = std::make_shared<AttemptHandle>();
   aFlow.context->Attach(handle);
   const Duration left = aFlow.deadline - mClock.Now() - Duration(kWayBack);
   // Named: a braced temporary in an awaited call is destroyed twice by the
   // compiler that Debian 12 has.
-  NoteSent(BytesOf(*aFlow.request));
-  const UpstreamPeer peer{ slot.instance, slot.address, slot.life };
-  ExchangeResult result =
+  RecordSent(BytesOf(*aFlow.request));
+  const UpstreamProcess peer{ slot.instance, slot.address, slot.incarnation };
+  AttemptResult result =
     co_await mExchanger.Run(peer, aFlow.request, left, handle);
   aFlow.context->Detach();
-  NoteTold(slot.instance, result.answer);
-  mDesk.Release(slot, EndOf(result, aFlow.context->IsAbandoned()), result.took);
-  mMetrics.Count("tries", TryLabel(result.kind));
+  RecordLoadReport(slot.instance, result.answer);
+  mDesk.Release(slot,
+                EndOf(result, aFlow.context->IsCancelledByCallerOrHost()),
+                result.took);
+  mMetrics.Increment("tries", TryLabel(result.kind));
   mMetrics.Observe("try", result.took);
   aFlow.lastUpstream = slot.instance;
   aFlow.lastReason = result.reason;
@@ -480,35 +483,35 @@
 
 /// What can't be read is counted and told nobody: the answer is good without.
 void
-RequestHandler::NoteTold(const std::string& aInstance,
-                         const IncomingAnswer& aAnswer)
+RequestHandler::RecordLoadReport(const std::string& aInstance,
+                                 const UpstreamResponse& aAnswer)
 {
   const std::string_view text = http::FieldOf(aAnswer.fields, mHeaders.load);
   if (text.empty()) {
     return;
   }
-  if (const auto load = mDialect.DecodeLoad(text)) {
-    mDesk.NoteTold(aInstance, *load);
+  if (const auto load = mDialect.DecodeLoadReport(text)) {
+    mDesk.RecordLoadReport(aInstance, *load);
   } else {
-    mMetrics.Count("loads_not_read", "");
+    mMetrics.Increment("loads_not_read", "");
   }
 }
 
 bool
-RequestHandler::MayRetry(Flow& aFlow, const ExchangeResult& aResult)
+RequestHandler::MayRetry(Flow& aFlow, const AttemptResult& aResult)
 {
-  if (aFlow.context->IsOver() ||
+  if (aFlow.context->IsCancelled() ||
       mClock.Now() + Duration(kLeastTry) >= aFlow.deadline) {
     return false;
   }
   const bool safe =
-    aResult.kind == ExchangeResult::Kind::NotRun ||
-    (aFlow.route->idempotent && aResult.kind == ExchangeResult::Kind::Unknown);
+    aResult.kind == AttemptResult::Kind::NotRun ||
+    (aFlow.route->idempotent && aResult.kind == AttemptResult::Kind::Unknown);
   return safe && aFlow.sent < aFlow.route->maxAttempts &&
          BudgetOf(aFlow.service).TryTake();
 }
 
-asio::awaitable<CallerAnswer>
+asio::awaitable<CallerResponse>
 RequestHandler::Run(Flow& aFlow)
 {
   asio::steady_timer timer(mExecutor);
@@ -526,22 +529,22 @@
         ++unsent;
         continue;
       }
-      const NoSlot& none = std::get<NoSlot>(outcome);
-      const bool full = none.hindrance == UpstreamSet::Hindrance::Full;
+      const SlotUnavailable& none = std::get<SlotUnavailable>(outcome);
+      const bool full = none.reason == UpstreamSet::UnavailableReason::Full;
       co_return NotRun(aFlow,
                        none.retryAfter,
                        full ? "all upstreams are full" : "no upstream");
     }
     const bool late = mClock.Now() + Duration(kWayBack) >= aFlow.deadline;
-    if (late || aFlow.context->IsOver()) {
-      mDesk.Release(*slot, TryEnd::Abandoned, {});
+    if (late || aFlow.context->IsCancelled()) {
+      mDesk.Release(*slot, AttemptOutcome::Abandoned, {});
       break;
     }
     if (aFlow.sent == 0) {
       BudgetOf(aFlow.service).OnFirstSend();
     }
-    ExchangeResult result = co_await Try(aFlow, *slot);
-    if (result.kind == ExchangeResult::Kind::NotSent) {
+    AttemptResult result = co_await Try(aFlow, *slot);
+    if (result.kind == AttemptResult::Kind::NotSent) {
       ++unsent;
       aFlow.tried.insert(aFlow.lastUpstream);
       if (aFlow.key) {
@@ -552,8 +555,8 @@
     }
     ++aFlow.sent;
     aFlow.tried.insert(aFlow.lastUpstream);
-    aFlow.mayHaveRun |= result.kind == ExchangeResult::Kind::Unknown;
-    if (result.kind == ExchangeResult::Kind::Answer ||
+    aFlow.mayHaveRun |= result.kind == AttemptResult::Kind::Unknown;
+    if (result.kind == AttemptResult::Kind::Answer ||
         !MayRetry(aFlow, result)) {
       co_return Final(aFlow, std::move(result));
     }
@@ -561,18 +564,18 @@
   if (aFlow.mayHaveRun) {
     co_return Final(
       aFlow,
-      ExchangeResult{
-        ExchangeResult::Kind::Unknown, {}, aFlow.lastReason, false, {} });
+      AttemptResult{
+        AttemptResult::Kind::Unknown, {}, aFlow.lastReason, false, {} });
   }
   co_return NotRun(aFlow, kRetryAfterFull, aFlow.lastReason);
 }
 
-CallerAnswer
-RequestHandler::Final(const Flow& aFlow, ExchangeResult aResult) const
+CallerResponse
+RequestHandler::Final(const Flow& aFlow, AttemptResult aResult) const
 {
   const std::string& id = aFlow.request->requestId;
-  if (aResult.kind == ExchangeResult::Kind::Answer) {
-    CallerAnswer answer;
+  if (aResult.kind == AttemptResult::Kind::Answer) {
+    CallerResponse answer;
     answer.status = aResult.answer.status;
     http::ForEachEndToEnd(aResult.answer.fields,
                           [&](std::string_view aName, std::string_view aValue) {
@@ -597,7 +600,7 @@
   return Own(timeout ? kGatewayTimeout : kBadGateway, id, aResult.reason);
 }
 
-CallerAnswer
+CallerResponse
 RequestHandler::NotRun(const Flow& aFlow,
                        Duration aRetryAfter,
                        const std::string& aReason) const
@@ -612,19 +615,19 @@
            << " reason=" << aReason << " last=" << aFlow.lastReason
            << " owner=" << (aFlow.owner.empty() ? "-" : aFlow.owner)
            << " upstream=" << aFlow.lastUpstream
-           << " index=" << mFeed.Known().Applied().value
-           << " age_ms=" << Ms(mFeed.Age())
+           << " index=" << mFeed.CurrentState().Applied().value
+           << " age_ms=" << Ms(mFeed.StateAge())
            << " after_ms=" << Ms(mClock.Now() - aFlow.arrived);
   return Own(kUnavailable, id, aReason, aRetryAfter);
 }
 
-CallerAnswer
+CallerResponse
 RequestHandler::Own(unsigned aStatus,
                     const std::string& aId,
                     const std::string& aText,
                     std::optional<Duration> aRetryAfter) const
 {
-  CallerAnswer answer;
+  CallerResponse answer;
   answer.status = aStatus;
   if (!aId.empty()) {
     http::AppendField(answer.fields, mHeaders.requestId, aId);
@@ -637,7 +640,7 @@
   return answer;
 }
 
-CallerAnswer
+CallerResponse
 RequestHandler::Refuse(unsigned aStatus, const std::string& aText) const
 {
   return Own(aStatus, {}, aText);
--- a/src/librattandyke/gateway/request_handler.h
+++ b/src/librattandyke/gateway/request_handler.h
@@ -14,22 +14,22 @@
 
 #include "base/clock.h"
 #include "entry/retry_budget.h"
-#include "gateway/caller_service.h"
+#include "gateway/caller_request_handler.h"
 #include "gateway/dialect.h"
 #include "gateway/egress_queue.h"
-#include "gateway/exchange.h"
 #include "gateway/feed_client.h"
 #include "gateway/link_budget.h"
 #include "gateway/metrics.h"
 #include "gateway/request_context.h"
 #include "gateway/route_table.h"
-#include "gateway/slot_desk.h"
+#include "gateway/slot_coordinator.h"
+#include "gateway/upstream_client.h"
 
 namespace rattandyke::gateway {
 
 /// Finds the route, chooses upstreams, makes tries and words the answer. Runs
 /// on one executor that runs one handler at a time.
-class RequestHandler : public CallerService
+class RequestHandler : public CallerRequestHandler
 {
 public:
   struct Options
@@ -47,7 +47,7 @@
   RequestHandler(boost::asio::any_io_executor aExecutor,
                  Options aOptions,
                  const FeedClient& aFeed,
-                 SlotDesk& aDesk,
+                 SlotCoordinator& aDesk,
                  const Dialect& aDialect,
                  const Clock& aClock);
 
@@ -56,25 +56,25 @@
 
   CallerLimits Limits() const override;
 
-  boost::asio::awaitable<CallerAnswer> Handle(
+  boost::asio::awaitable<CallerResponse> Handle(
     std::shared_ptr<RequestContext> aContext,
     CallerRequest aRequest) override;
 
-  CallerAnswer Refuse(unsigned aStatus,
-                      const std::string& aText) const override;
+  CallerResponse Refuse(unsigned aStatus,
+                        const std::string& aText) const override;
 
   std::string IdOf(const CallerRequest& aRequest) const override;
 
   void CountEnd(std::string_view aReason) override;
 
   /// @return requests for keys since the last call, and times of upstreams.
-  wire::FeedReport TakeLoads();
+  wire::FeedReport TakeLoadReport();
 
   /// Closes connections that have been idle too long.
   void Sweep();
 
   /// Bytes were sent to another host.
-  void NoteSent(size_t aBytes) { mEgress.NoteSent(aBytes, mClock.Now()); }
+  void RecordSent(size_t aBytes) { mEgress.RecordSent(aBytes, mClock.Now()); }
 
   /// @return what this host has counted, as a text page.
   std::string MetricsPage();
@@ -88,7 +88,7 @@
   {
     std::shared_ptr<RequestContext> context;
     std::shared_ptr<Route> route;
-    std::shared_ptr<const OutgoingRequest> request;
+    std::shared_ptr<const UpstreamRequest> request;
     std::string service;
     std::optional<uint32_t> key;
     Instant arrived{};
@@ -108,7 +108,7 @@
   using Waiters = std::list<std::weak_ptr<RequestContext>>;
 
   bool OwnsKeys(const std::string& aService) const;
-  std::shared_ptr<const OutgoingRequest> Outgoing(const CallerRequest& aRequest,
+  std::shared_ptr<const UpstreamRequest> Outgoing(const CallerRequest& aRequest,
                                                   const std::string& aId) const;
   Instant PatienceEnd(const Flow& aFlow) const;
   bool HasMoved(const Flow& aFlow) const;
@@ -123,31 +123,32 @@
     Instant aUntil);
   boost::asio::awaitable<std::string> AwaitOwner(Flow& aFlow);
   boost::asio::awaitable<SlotOutcome> AwaitSlot(Flow& aFlow);
-  boost::asio::awaitable<CallerAnswer> Answer(
+  boost::asio::awaitable<CallerResponse> Answer(
     std::shared_ptr<RequestContext> aContext,
     CallerRequest aRequest);
   /// Runs a request if the host's link has room for its answer.
-  boost::asio::awaitable<CallerAnswer> RunIfRoom(Flow& aFlow);
-  static size_t BytesOf(const OutgoingRequest& aRequest);
-  boost::asio::awaitable<CallerAnswer> Run(Flow& aFlow);
+  boost::asio::awaitable<CallerResponse> RunIfRoom(Flow& aFlow);
+  static size_t BytesOf(const UpstreamRequest& aRequest);
+  boost::asio::awaitable<CallerResponse> Run(Flow& aFlow);
   /// Waits until the host's link can take an answer.
   boost::asio::awaitable<void> AwaitEgress(
     std::shared_ptr<RequestContext> aContext,
     size_t aBytes,
     Instant aDue);
   void WatchEgress();
-  boost::asio::awaitable<ExchangeResult> Try(Flow& aFlow, const Slot& aSlot);
+  boost::asio::awaitable<AttemptResult> Try(Flow& aFlow, const Slot& aSlot);
   /// Notes what the upstream told with its answer.
-  void NoteTold(const std::string& aInstance, const IncomingAnswer& aAnswer);
-  bool MayRetry(Flow& aFlow, const ExchangeResult& aResult);
-  CallerAnswer Final(const Flow& aFlow, ExchangeResult aResult) const;
-  CallerAnswer NotRun(const Flow& aFlow,
-                      Duration aRetryAfter,
-                      const std::string& aReason) const;
-  CallerAnswer Own(unsigned aStatus,
-                   const std::string& aId,
-                   const std::string& aText,
-                   std::optional<Duration> aRetryAfter = {}) const;
+  void RecordLoadReport(const std::string& aInstance,
+                        const UpstreamResponse& aAnswer);
+  bool MayRetry(Flow& aFlow, const AttemptResult& aResult);
+  CallerResponse Final(const Flow& aFlow, AttemptResult aResult) const;
+  CallerResponse NotRun(const Flow& aFlow,
+                        Duration aRetryAfter,
+                        const std::string& aReason) const;
+  CallerResponse Own(unsigned aStatus,
+                     const std::string& aId,
+                     const std::string& aText,
+                     std::optional<Duration> aRetryAfter = {}) const;
   entry::RetryBudget& BudgetOf(const std::string& aService);
   void WakeWaiters();
   void NoteKey(const std::string& aService, uint32_t aKey);
@@ -159,13 +160,13 @@
   const HeaderNames& mHeaders;
   const Clock& mClock;
   RouteTable mRoutes;
-  SlotDesk& mDesk;
-  Exchanger mExchanger;
+  SlotCoordinator& mDesk;
+  UpstreamClient mExchanger;
   std::map<std::string, std::unique_ptr<entry::RetryBudget>> mBudgets;
   Waiters mWaiters;
   Metrics mMetrics;
   LinkBudget mLink;
-  AnswerSizes mSizes;
+  ResponseSizes mSizes;
   EgressQueue mEgress;
   EgressQueue::Ticket mLastEgress = 0;
   /// Whose answers wait for the link.
--- a/src/librattandyke/gateway/request_handler_link.cpp
+++ b/src/librattandyke/gateway/request_handler_link.cpp
@@ -30,13 +30,13 @@
   }
   mAwaitEgress[ticket] = aContext;
   WatchEgress();
-  while (mAwaitEgress.contains(ticket) && !aContext->IsOver()) {
-    aContext->Wake().expires_after(kLongestEgress);
-    co_await aContext->Wake().async_wait(kAwait);
+  while (mAwaitEgress.contains(ticket) && !aContext->IsCancelled()) {
+    aContext->WakeTimer().expires_after(kLongestEgress);
+    co_await aContext->WakeTimer().async_wait(kAwait);
   }
   if (mAwaitEgress.erase(ticket) > 0) {
     mEgress.Leave(ticket);
-    NoteSent(aBytes);
+    RecordSent(aBytes);
   }
   mMetrics.Observe("egress_wait", mClock.Now() - entered);
 }
@@ -53,7 +53,7 @@
     for (const EgressQueue::Ticket ticket : mEgress.TakeReady(mClock.Now())) {
       const auto found = mAwaitEgress.find(ticket);
       if (found != mAwaitEgress.end()) {
-        found->second->Wake().cancel();
+        found->second->WakeTimer().cancel();
         mAwaitEgress.erase(found);
       }
     }
@@ -64,12 +64,12 @@
 }
 
 size_t
-RequestHandler::BytesOf(const OutgoingRequest& aRequest)
+RequestHandler::BytesOf(const UpstreamRequest& aRequest)
 {
   return aRequest.fields.size() + aRequest.body.size() + kRequestLine;
 }
 
-asio::awaitable<CallerAnswer>
+asio::awaitable<CallerResponse>
 RequestHandler::RunIfRoom(Flow& aFlow)
 {
   const size_t expected = mSizes.Of(aFlow.route->name);
@@ -79,10 +79,10 @@
                                 Duration(aFlow.route->timeout),
                                 mClock.Now());
   if (wait) {
-    mMetrics.Count("link_refusals", "");
+    mMetrics.Increment("link_refusals", "");
     co_return NotRun(aFlow, *wait, "the link is full");
   }
-  CallerAnswer answer = co_await Run(aFlow);
+  CallerResponse answer = co_await Run(aFlow);
   // What came has been counted as expected; a refusal has brought nothing.
   if (answer.due > Instant{}) {
     mSizes.Note(aFlow.route->name, answer.fields.size() + answer.body.size());
--- a/src/librattandyke/gateway/retry_share.cpp
+++ b/src/librattandyke/gateway/retry_share.cpp
@@ -13,7 +13,7 @@
 } // namespace
 
 entry::RetryBudget::Settings
-ShareOf(RetryBound aBound, size_t aEntries)
+RetryShareOf(FleetRetryLimits aBound, size_t aEntries)
 {
   const double entries = static_cast<double>(std::max<size_t>(aEntries, 1));
   const double burst = aBound.slack * kBudgetPart / entries;
--- a/src/librattandyke/gateway/retry_share.h
+++ b/src/librattandyke/gateway/retry_share.h
@@ -8,7 +8,7 @@
 namespace rattandyke::gateway {
 
 /// Second tries that all entry hosts together may make for a service.
-struct RetryBound
+struct FleetRetryLimits
 {
   /// For each first one.
   double ratio = 0;
@@ -20,6 +20,7 @@
 /// each. A host that may keep no whole token would never try again, however
 /// many its traffic earns. So each may keep one, earned by its own requests.
 /// @return the share of one host.
-entry::RetryBudget::Settings ShareOf(RetryBound aBound, size_t aEntries);
+entry::RetryBudget::Settings RetryShareOf(FleetRetryLimits aBound,
+                                          size_t aEntries);
 
 } // namespace rattandyke::gateway
--- a/src/librattandyke/gateway/retry_share_test.cpp
+++ b/src/librattandyke/gateway/retry_share_test.cpp
@@ -13,7 +13,7 @@
 /// Second tries of many entries while upstreams refuse all that they are sent.
 struct Shed
 {
-  static constexpr RetryBound kBound{ 0.2, 1040 };
+  static constexpr FleetRetryLimits kBound{ 0.2, 1040 };
   static constexpr size_t kWindow = 15000;
 
   explicit Shed(size_t aEntries)
@@ -22,7 +22,7 @@
     std::vector<std::unique_ptr<entry::RetryBudget>> budgets;
     for (size_t at = 0; at < aEntries; ++at) {
       budgets.push_back(
-        std::make_unique<entry::RetryBudget>(ShareOf(kBound, aEntries)));
+        std::make_unique<entry::RetryBudget>(RetryShareOf(kBound, aEntries)));
     }
     std::deque<size_t> window;
     size_t inWindow = 0;
--- a/src/librattandyke/gateway/route_table.cpp
+++ b/src/librattandyke/gateway/route_table.cpp
@@ -125,12 +125,13 @@
   Route::Part* best = nullptr;
   for (Route::Part& part : aRoute.parts) {
     sum += part.weight;
-    part.credit += part.weight;
-    if (part.weight > 0 && (best == nullptr || part.credit > best->credit)) {
+    part.currentWeight += part.weight;
+    if (part.weight > 0 &&
+        (best == nullptr || part.currentWeight > best->currentWeight)) {
       best = &part;
     }
   }
-  best->credit -= sum;
+  best->currentWeight -= sum;
   return best->service;
 }
 
--- a/src/librattandyke/gateway/route_table.h
+++ b/src/librattandyke/gateway/route_table.h
@@ -9,7 +9,7 @@
 
 #include <rattandyke/types.h>
 
-#include "gateway/items.h"
+#include "gateway/item_table.h"
 
 namespace rattandyke::gateway {
 
@@ -31,7 +31,7 @@
     std::string service;
     double weight = 0;
     /// How far its share lags behind its weight.
-    double credit = 0;
+    double currentWeight = 0;
   };
   std::vector<Part> parts;
   uint64_t version = 0;
--- a/src/librattandyke/gateway/answer_text.cpp
+++ b/src/librattandyke/gateway/serialize_response.cpp
@@ -1,4 +1,4 @@
-#include "gateway/answer_text.h"
+#include "gateway/serialize_response.h"
 
 #include <chrono>
 
@@ -39,7 +39,7 @@
 } // namespace
 
 std::string
-AnswerText(const CallerAnswer& aAnswer,
+AnswerText(const CallerResponse& aAnswer,
            const std::optional<KeptFor>& aKept,
            bool aHead)
 {
--- a/src/librattandyke/gateway/answer_text.h
+++ b/src/librattandyke/gateway/serialize_response.h
@@ -6,7 +6,7 @@
 
 #include <rattandyke/types.h>
 
-#include "gateway/caller_service.h"
+#include "gateway/caller_request_handler.h"
 
 namespace rattandyke::gateway {
 
@@ -20,7 +20,7 @@
 /// @param aKept nothing if the connection ends with the answer.
 /// @param aHead the request was one for the head only.
 /// @return the answer as it goes over the connection.
-std::string AnswerText(const CallerAnswer& aAnswer,
+std::string AnswerText(const CallerResponse& aAnswer,
                        const std::optional<KeptFor>& aKept,
                        bool aHead);
 
--- a/src/librattandyke/gateway/settings.cpp
+++ b/src/librattandyke/gateway/settings.cpp
@@ -479,7 +479,7 @@
     }
   }
   for (Endpoint& seed : settings.seeds) {
-    seed.port = settings.Self().port;
+    seed.port = settings.AdvertisedAddress().port;
   }
   FillHoldIn(settings);
   CheckWhole(settings, problems);
--- a/src/librattandyke/gateway/settings.h
+++ b/src/librattandyke/gateway/settings.h
@@ -36,7 +36,7 @@
 
   /// @return the calls' connections that a process may have; the rest of its
   /// descriptors is for files and for other hosts.
-  size_t MostCalls() const { return descriptors * 4 / 5; }
+  size_t MaxCallConnections() const { return descriptors * 4 / 5; }
 
   // [listen]
   std::optional<Endpoint> callers;
@@ -49,7 +49,10 @@
 
   /// @return this host's address as others know it, which is its name among
   /// them.
-  const Endpoint& Self() const { return advertised ? *advertised : peers; }
+  const Endpoint& AdvertisedAddress() const
+  {
+    return advertised ? *advertised : peers;
+  }
 
   // [control]
   /// Control hosts that may be asked for the others, as addresses for peers.
--- a/src/librattandyke/gateway/settings_test.cpp
+++ b/src/librattandyke/gateway/settings_test.cpp
@@ -37,7 +37,7 @@
   text.insert(text.find("peers ="), "advertised = 10.9.0.1:7100\n");
   const auto settings = ParseSettings(text, "file");
   ASSERT_TRUE(settings);
-  EXPECT_EQ(settings->Self(), (Endpoint{ "10.9.0.1", 7100 }));
+  EXPECT_EQ(settings->AdvertisedAddress(), (Endpoint{ "10.9.0.1", 7100 }));
   EXPECT_EQ(settings->seeds[0].port, 7100);
 }
 
--- a/src/librattandyke/gateway/slot_broker.cpp
+++ b/src/librattandyke/gateway/slot_broker.cpp
@@ -93,14 +93,15 @@
 {
   if (aRequest.direct) {
     // One that can't be in time any more is sent as long as it can be answered.
-    const bool late = aRequest.aim <= Duration(kWayBack);
+    const bool late = aRequest.timeToObjective <= Duration(kWayBack);
     return mUpstreams.ChooseDirect(aRequest.service,
                                    aRequest.excluded,
-                                   late ? aRequest.held : aRequest.aim,
+                                   late ? aRequest.maxHold
+                                        : aRequest.timeToObjective,
                                    aNow);
   }
   if (!aRequest.cold && mUpstreams.IsCold(aRequest.instance, aNow)) {
-    return UpstreamSet::Hindrance::Full;
+    return UpstreamSet::UnavailableReason::Full;
   }
   if (!aRequest.instance.empty()) {
     return aRequest.alone ? mUpstreams.ChooseOneAlone(aRequest.instance, aNow)
@@ -121,7 +122,7 @@
 {
   const UpstreamSet::Begun begun = mUpstreams.Begin(aChoice.instance, aNow);
   mRunning[aRequest.key] = { aChoice.instance,
-                             aNow + aRequest.held + Duration(kLostReturn),
+                             aNow + aRequest.maxHold + Duration(kLostReturn),
                              begun };
   mAnswers.emplace_back(
     SlotGranted{ aRequest.key, aChoice.instance, aChoice.address });
@@ -129,7 +130,7 @@
 
 void
 SlotBroker::Refuse(const SlotRequest& aRequest,
-                   UpstreamSet::Hindrance aHindrance,
+                   UpstreamSet::UnavailableReason aHindrance,
                    Duration aRetryAfter)
 {
   mAnswers.emplace_back(SlotRefused{ aRequest.key, aHindrance, aRetryAfter });
@@ -140,7 +141,7 @@
 SlotBroker::RefuseAsFull(const SlotRequest& aRequest, Duration aWait)
 {
   Refuse(aRequest,
-         UpstreamSet::Hindrance::Full,
+         UpstreamSet::UnavailableReason::Full,
          std::clamp<Duration>(aWait, kLeastRetryAfter, kMostRetryAfter));
 }
 
@@ -170,19 +171,19 @@
 Duration
 SlotBroker::PatienceOf(const SlotRequest& aRequest) const
 {
-  if (aRequest.aim <= Duration::zero()) {
-    return aRequest.patience;
+  if (aRequest.timeToObjective <= Duration::zero()) {
+    return aRequest.maxWait;
   }
-  return std::clamp(aRequest.aim - AnswerTime(aRequest),
-                    Scaled(aRequest.patience, kLeastPatience),
-                    aRequest.patience);
+  return std::clamp(aRequest.timeToObjective - AnswerTime(aRequest),
+                    Scaled(aRequest.maxWait, kLeastPatience),
+                    aRequest.maxWait);
 }
 
 /// @return the time for which it may wait if its answer may be late.
 Duration
 SlotBroker::LatestStart(const SlotRequest& aRequest) const
 {
-  return std::max(aRequest.held - AnswerTime(aRequest), Duration::zero());
+  return std::max(aRequest.maxHold - AnswerTime(aRequest), Duration::zero());
 }
 
 double
@@ -270,9 +271,9 @@
     Grant(aRequest, *choice, aNow);
     return TakeAnswers();
   }
-  const auto hindrance = std::get<UpstreamSet::Hindrance>(outcome);
-  if (hindrance != UpstreamSet::Hindrance::Full) {
-    Refuse(aRequest, hindrance, kNoUpstreamRetryAfter);
+  const auto reason = std::get<UpstreamSet::UnavailableReason>(outcome);
+  if (reason != UpstreamSet::UnavailableReason::Full) {
+    Refuse(aRequest, reason, kNoUpstreamRetryAfter);
     return TakeAnswers();
   }
   if (aRequest.direct) {
@@ -307,9 +308,9 @@
       at = queue.erase(at);
       continue;
     }
-    const auto hindrance = std::get<UpstreamSet::Hindrance>(outcome);
-    if (hindrance != UpstreamSet::Hindrance::Full) {
-      Refuse(at->second.request, hindrance, kNoUpstreamRetryAfter);
+    const auto reason = std::get<UpstreamSet::UnavailableReason>(outcome);
+    if (reason != UpstreamSet::UnavailableReason::Full) {
+      Refuse(at->second.request, reason, kNoUpstreamRetryAfter);
       at = queue.erase(at);
       continue;
     }
@@ -318,7 +319,10 @@
 }
 
 std::vector<SlotAnswer>
-SlotBroker::Done(const SlotKey& aKey, TryEnd aEnd, Duration aTook, Instant aNow)
+SlotBroker::Done(const SlotKey& aKey,
+                 AttemptOutcome aEnd,
+                 Duration aTook,
+                 Instant aNow)
 {
   const auto found = mRunning.find(aKey);
   if (found != mRunning.end()) {
@@ -367,7 +371,7 @@
     }
     SlotRequest request = at->second.request;
     const bool wasLate = at->first.late;
-    request.held = at->second.lateUntil + AnswerTime(request) - aNow;
+    request.maxHold = at->second.lateUntil + AnswerTime(request) - aNow;
     at = aQueue.erase(at);
     if (!wasLate && ExpectedLateWait(request, aNow) <=
                       Scaled(LatestStart(request), kSureOfLate)) {
@@ -406,8 +410,11 @@
       ++at;
       continue;
     }
-    mUpstreams.End(
-      at->second.instance, TryEnd::Abandoned, {}, at->second.begun, aNow);
+    mUpstreams.End(at->second.instance,
+                   AttemptOutcome::Abandoned,
+                   {},
+                   at->second.begun,
+                   aNow);
     freed.insert(mUpstreams.ServiceOf(at->second.instance));
     at = mRunning.erase(at);
   }
--- a/src/librattandyke/gateway/slot_broker.h
+++ b/src/librattandyke/gateway/slot_broker.h
@@ -37,11 +37,11 @@
   /// 0 goes first.
   uint32_t priority = 0;
   /// Time for which it waits.
-  Duration patience{};
+  Duration maxWait{};
   /// Time left in which its answer is still in time; zero: not said.
-  Duration aim{};
+  Duration timeToObjective{};
   /// Longest time for which it keeps the slot.
-  Duration held{};
+  Duration maxHold{};
   DataCentre dataCentre;
   /// Other hosts, unknown to this one, send requests to the same upstreams.
   bool alone = false;
@@ -63,7 +63,7 @@
 struct SlotRefused
 {
   SlotKey key;
-  UpstreamSet::Hindrance hindrance = UpstreamSet::Hindrance::Full;
+  UpstreamSet::UnavailableReason reason = UpstreamSet::UnavailableReason::Full;
   /// When a slot may be free.
   Duration retryAfter{};
 };
@@ -99,7 +99,7 @@
 
   /// A request ended, or wants no slot any more.
   std::vector<SlotAnswer> Done(const SlotKey& aKey,
-                               TryEnd aEnd,
+                               AttemptOutcome aEnd,
                                Duration aTook,
                                Instant aNow);
 
@@ -108,12 +108,12 @@
 
   const UpstreamSet& Upstreams() const { return mUpstreams; }
 
-  /// UpstreamSet::NoteTold.
-  void NoteTold(const std::string& aInstance,
-                const ToldLoad& aLoad,
-                Instant aNow)
+  /// UpstreamSet::RecordLoadReport.
+  void RecordLoadReport(const std::string& aInstance,
+                        const LoadReport& aLoad,
+                        Instant aNow)
   {
-    mUpstreams.NoteTold(aInstance, aLoad, aNow);
+    mUpstreams.RecordLoadReport(aInstance, aLoad, aNow);
   }
 
   /// UpstreamSet::HoldOffCold.
@@ -128,10 +128,10 @@
   /// @return requests that wait for a slot.
   size_t Waiting() const;
 
-  /// UpstreamSet::TakeNewTimes.
-  std::map<std::string, double> TakeNewTimes()
+  /// UpstreamSet::TakeChangedResponseSeconds.
+  std::map<std::string, double> TakeChangedResponseSeconds()
   {
-    return mUpstreams.TakeNewTimes();
+    return mUpstreams.TakeChangedResponseSeconds();
   }
 
   static constexpr Duration kTick = std::chrono::milliseconds{ 20 };
@@ -185,7 +185,7 @@
              const UpstreamSet::Choice& aChoice,
              Instant aNow);
   void Refuse(const SlotRequest& aRequest,
-              UpstreamSet::Hindrance aHindrance,
+              UpstreamSet::UnavailableReason aHindrance,
               Duration aRetryAfter);
   void RefuseAsFull(const SlotRequest& aRequest, Duration aWait);
   static Target TargetOf(const SlotRequest& aRequest);
--- a/src/librattandyke/gateway/slot_broker_test.cpp
+++ b/src/librattandyke/gateway/slot_broker_test.cpp
@@ -35,8 +35,8 @@
   request.key = { 1, aTicket };
   request.service = "desk";
   request.priority = aPriority;
-  request.patience = milliseconds{ 300 };
-  request.held = milliseconds{ 1000 };
+  request.maxWait = milliseconds{ 300 };
+  request.maxHold = milliseconds{ 1000 };
   return request;
 }
 
@@ -70,7 +70,7 @@
   EXPECT_EQ(Count<SlotGranted>(broker.Ask(Request(2), now)), 1U);
   EXPECT_EQ(Count<SlotQueued>(broker.Ask(Request(3), now)), 1U);
   const auto answers =
-    broker.Done({ 1, 1 }, TryEnd::Answered, milliseconds{ 50 }, now);
+    broker.Done({ 1, 1 }, AttemptOutcome::Answered, milliseconds{ 50 }, now);
   ASSERT_EQ(Count<SlotGranted>(answers), 1U);
   EXPECT_EQ(std::get<SlotGranted>(answers.front()).key.ticket, 3U);
 }
@@ -110,7 +110,7 @@
   broker.Ask(Request(3, 2), now);
   broker.Ask(Request(4, 0), now);
   const auto answers =
-    broker.Done({ 1, 1 }, TryEnd::Answered, milliseconds{ 50 }, now);
+    broker.Done({ 1, 1 }, AttemptOutcome::Answered, milliseconds{ 50 }, now);
   ASSERT_EQ(Count<SlotGranted>(answers), 1U);
   EXPECT_EQ(std::get<SlotGranted>(answers.front()).key.ticket, 4U);
 }
@@ -135,7 +135,7 @@
   broker.Ask(Request(1), now);
   broker.Ask(Request(2), now);
   SlotRequest third = Request(3);
-  third.held = milliseconds{ 450 };
+  third.maxHold = milliseconds{ 450 };
   broker.Ask(third, now);
   EXPECT_EQ(Count<SlotRefused>(broker.Tick(now + milliseconds{ 299 })), 0U);
   EXPECT_EQ(Count<SlotRefused>(broker.Tick(now + milliseconds{ 301 })), 1U);
@@ -152,8 +152,10 @@
   broker.Ask(Request(3), now);
   EXPECT_TRUE(broker.Tick(now + milliseconds{ 301 }).empty());
   broker.Ask(Request(4), now + milliseconds{ 310 });
-  const auto first = broker.Done(
-    { 1, 1 }, TryEnd::Answered, milliseconds{ 100 }, now + milliseconds{ 320 });
+  const auto first = broker.Done({ 1, 1 },
+                                 AttemptOutcome::Answered,
+                                 milliseconds{ 100 },
+                                 now + milliseconds{ 320 });
   ASSERT_EQ(Count<SlotGranted>(first), 1U);
   EXPECT_EQ(std::get<SlotGranted>(first.front()).key.ticket, 4U);
   EXPECT_TRUE(broker.Tick(now + milliseconds{ 860 }).empty());
@@ -178,7 +180,7 @@
     }
     if (step % 2 == 1) {
       broker.Done({ 1, static_cast<uint64_t>(step) / 2 + 1 },
-                  TryEnd::Answered,
+                  AttemptOutcome::Answered,
                   milliseconds{ 100 },
                   now);
     }
@@ -222,7 +224,7 @@
   Use({ "a", "b" }, 2);
   const auto first = broker.Ask(Request(1), now);
   const std::string failed = std::get<SlotGranted>(first.front()).instance;
-  broker.Done({ 1, 1 }, TryEnd::Unreachable, {}, now);
+  broker.Done({ 1, 1 }, AttemptOutcome::Unreachable, {}, now);
   const auto next = broker.Ask(Request(2), now);
   EXPECT_NE(std::get<SlotGranted>(next.front()).instance, failed);
   now += std::chrono::seconds{ 10 };
@@ -265,7 +267,7 @@
       const auto [done, instance] = *granted.begin();
       granted.erase(granted.begin());
       --running[instance];
-      const auto end = static_cast<TryEnd>(random() % 6);
+      const auto end = static_cast<AttemptOutcome>(random() % 6);
       take(broker.Done({ 1, done }, end, milliseconds{ 40 }, now));
     }
     now += milliseconds(random() % 20);
@@ -275,7 +277,8 @@
       const auto [done, instance] = *granted.begin();
       granted.erase(granted.begin());
       --running[instance];
-      take(broker.Done({ 1, done }, TryEnd::Answered, milliseconds{ 40 }, now));
+      take(broker.Done(
+        { 1, done }, AttemptOutcome::Answered, milliseconds{ 40 }, now));
     }
   }
 }
@@ -288,13 +291,14 @@
   Use({ "a" }, 1);
   for (uint64_t ticket = 1; ticket <= 30; ++ticket) {
     broker.Ask(Request(ticket), now);
-    broker.Done({ 1, ticket }, TryEnd::Answered, milliseconds{ 400 }, now);
+    broker.Done(
+      { 1, ticket }, AttemptOutcome::Answered, milliseconds{ 400 }, now);
   }
   const auto ask = [&](uint64_t aTicket) {
     SlotRequest request = Request(aTicket);
     request.instance = "a";
-    request.patience = milliseconds{ 300 };
-    request.aim = milliseconds{ 500 };
+    request.maxWait = milliseconds{ 300 };
+    request.timeToObjective = milliseconds{ 500 };
     return broker.Ask(request, now);
   };
   EXPECT_EQ(Count<SlotGranted>(ask(101)), 1U);
@@ -306,9 +310,9 @@
 {
   Use({ "a", "b" }, 1);
   broker.Ask(Request(1), now);
-  broker.Done({ 1, 1 }, TryEnd::Answered, milliseconds{ 50 }, now);
-  EXPECT_EQ(broker.TakeNewTimes().size(), 1U);
-  EXPECT_TRUE(broker.TakeNewTimes().empty());
+  broker.Done({ 1, 1 }, AttemptOutcome::Answered, milliseconds{ 50 }, now);
+  EXPECT_EQ(broker.TakeChangedResponseSeconds().size(), 1U);
+  EXPECT_TRUE(broker.TakeChangedResponseSeconds().empty());
 }
 
 // An upstream starts again under its id while two requests run at its earlier
@@ -338,7 +342,7 @@
   broker.Update(state, now);
   EXPECT_EQ(broker.Upstreams().Running("a"), 0U);
   EXPECT_EQ(Count<SlotGranted>(broker.Ask(Request(3), now)), 1U);
-  broker.Done({ 1, 1 }, TryEnd::Broken, milliseconds{ 50 }, now);
+  broker.Done({ 1, 1 }, AttemptOutcome::Broken, milliseconds{ 50 }, now);
   EXPECT_EQ(broker.Upstreams().Running("a"), 1U);
   EXPECT_EQ(Count<SlotGranted>(broker.Ask(Request(4), now)), 1U);
 }
@@ -359,14 +363,15 @@
     ask(ticket);
   }
   for (uint64_t ticket = 1; ticket <= 4; ++ticket) {
-    broker.Done({ 1, ticket }, TryEnd::Silent, milliseconds{ 500 }, now);
+    broker.Done(
+      { 1, ticket }, AttemptOutcome::TimedOut, milliseconds{ 500 }, now);
   }
   EXPECT_EQ(Count<SlotGranted>(ask(5)), 1U);
   EXPECT_EQ(Count<SlotRefused>(ask(6)), 1U);
   EXPECT_EQ(Count<SlotRefused>(ask(7)), 1U);
   now += milliseconds{ 110 };
   EXPECT_EQ(Count<SlotGranted>(ask(8)), 1U);
-  broker.Done({ 1, 8 }, TryEnd::Answered, milliseconds{ 50 }, now);
+  broker.Done({ 1, 8 }, AttemptOutcome::Answered, milliseconds{ 50 }, now);
   EXPECT_EQ(Count<SlotGranted>(ask(9)), 1U);
   EXPECT_EQ(Count<SlotGranted>(ask(10)), 1U);
 }
--- a/src/librattandyke/gateway/slot_desk.cpp
+++ b/src/librattandyke/gateway/slot_coordinator.cpp
@@ -1,4 +1,4 @@
-#include "gateway/slot_desk.h"
+#include "gateway/slot_coordinator.h"
 
 #include <algorithm>
 
@@ -72,23 +72,23 @@
   request.excluded.insert(aAsk.excluded().begin(), aAsk.excluded().end());
   request.group = aAsk.group();
   request.priority = aAsk.priority();
-  request.patience = milliseconds{ aAsk.patience_ms() };
-  request.aim = milliseconds{ aAsk.aim_ms() };
-  request.held = milliseconds{ aAsk.held_ms() };
+  request.maxWait = milliseconds{ aAsk.patience_ms() };
+  request.timeToObjective = milliseconds{ aAsk.aim_ms() };
+  request.maxHold = milliseconds{ aAsk.held_ms() };
   request.dataCentre = DataCentre{ aAsk.data_centre() };
   return request;
 }
 
 } // namespace
 
-SlotDesk::SlotDesk(asio::any_io_executor aExecutor,
-                   std::string aSelf,
-                   uint64_t aSession,
-                   Send aSend,
-                   const Clock& aClock,
-                   uint64_t aSeed,
-                   const UpstreamSet::Options& aOptions,
-                   StateAge aStateAge)
+SlotCoordinator::SlotCoordinator(asio::any_io_executor aExecutor,
+                                 std::string aSelf,
+                                 uint64_t aSession,
+                                 Send aSend,
+                                 const Clock& aClock,
+                                 uint64_t aSeed,
+                                 const UpstreamSet::Options& aOptions,
+                                 StateAge aStateAge)
   : mExecutor(std::move(aExecutor))
   , mSelf(std::move(aSelf))
   , mSession(aSession)
@@ -101,7 +101,7 @@
 }
 
 void
-SlotDesk::StateChanged(const State& aState)
+SlotCoordinator::StateChanged(const State& aState)
 {
   mEntries.clear();
   for (const auto& [address, member] : aState.Entries()) {
@@ -115,8 +115,8 @@
 }
 
 void
-SlotDesk::StateChanged(const State& aState,
-                       const wire::GatewayCommand& aCommand)
+SlotCoordinator::StateChanged(const State& aState,
+                              const wire::GatewayCommand& aCommand)
 {
   const Instant now = mClock.Now();
   switch (aCommand.body_case()) {
@@ -162,7 +162,7 @@
 
 /// Sessions of entries that are gone ask nothing any more.
 void
-SlotDesk::ForgetAskers(const State& aState)
+SlotCoordinator::ForgetAskers(const State& aState)
 {
   std::erase_if(mAskers, [&](const auto& aAsker) {
     return !aState.Entries().contains(aAsker.second) &&
@@ -171,23 +171,23 @@
 }
 
 asio::awaitable<void>
-SlotDesk::WaitFor(std::shared_ptr<Pending> aPending, Instant aUntil)
+SlotCoordinator::WaitFor(std::shared_ptr<Pending> aPending, Instant aUntil)
 {
   const Duration left = aUntil - mClock.Now();
   if (left <= Duration::zero()) {
     co_return;
   }
-  aPending->context->Wake().expires_after(left);
-  co_await aPending->context->Wake().async_wait(kAwait);
+  aPending->context->WakeTimer().expires_after(left);
+  co_await aPending->context->WakeTimer().async_wait(kAwait);
 }
 
 /// Waits for any answer of the home.
 asio::awaitable<void>
-SlotDesk::AwaitSign(std::shared_ptr<Pending> aPending, Instant aUntil)
+SlotCoordinator::AwaitSign(std::shared_ptr<Pending> aPending, Instant aUntil)
 {
   const auto heard = [&] {
     return aPending->outcome || aPending->queued || aPending->declined ||
-           aPending->context->IsOver();
+           aPending->context->IsCancelled();
   };
   while (!heard() && mClock.Now() < aUntil) {
     co_await WaitFor(aPending, aUntil);
@@ -204,9 +204,9 @@
 }
 
 asio::awaitable<void>
-SlotDesk::AskHome(std::shared_ptr<Pending> aPending,
-                  std::string aHome,
-                  const SlotRequest& aRequest)
+SlotCoordinator::AskHome(std::shared_ptr<Pending> aPending,
+                         std::string aHome,
+                         const SlotRequest& aRequest)
 {
   wire::GatewayFrame frame;
   wire::SlotAsk* ask = frame.mutable_slot_ask();
@@ -220,9 +220,10 @@
   }
   ask->set_group(aRequest.group);
   ask->set_priority(aRequest.priority);
-  ask->set_patience_ms(Ms(aRequest.patience).count());
-  ask->set_aim_ms(std::max<int64_t>(Ms(aRequest.aim).count(), int64_t{ 1 }));
-  ask->set_held_ms(Ms(aRequest.held).count());
+  ask->set_patience_ms(Ms(aRequest.maxWait).count());
+  ask->set_aim_ms(
+    std::max<int64_t>(Ms(aRequest.timeToObjective).count(), int64_t{ 1 }));
+  ask->set_held_ms(Ms(aRequest.maxHold).count());
   ask->set_data_centre(aRequest.dataCentre.value);
   const Instant asked = mClock.Now();
   aPending->asked = true;
@@ -235,7 +236,8 @@
     mSilentUntil[aHome] = mClock.Now() + Duration(kDeclinedFor);
     co_return;
   }
-  if (!aPending->outcome && !aPending->queued && !aPending->context->IsOver()) {
+  if (!aPending->outcome && !aPending->queued &&
+      !aPending->context->IsCancelled()) {
     mSilentUntil[aHome] = mClock.Now() + Duration(kLeftAlone);
     log::Line(log::Part::Entry, log::Severity::Info)
       << "slots' home " << aHome << " is silent; goes by itself for "
@@ -243,72 +245,74 @@
     co_return;
   }
   // The home ends its wait, at the latest when no answer can come in time.
-  const Instant end = asked + aRequest.held;
-  while (!aPending->outcome && !aPending->context->IsOver() &&
+  const Instant end = asked + aRequest.maxHold;
+  while (!aPending->outcome && !aPending->context->IsCancelled() &&
          mClock.Now() < end) {
     co_await WaitFor(aPending, end);
   }
 }
 
 asio::awaitable<bool>
-SlotDesk::AwaitTurn(std::shared_ptr<Pending> aPending,
-                    const SlotRequest& aRequest)
+SlotCoordinator::AwaitTurn(std::shared_ptr<Pending> aPending,
+                           const SlotRequest& aRequest)
 {
   const uint64_t ticket = aRequest.key.ticket;
   const Instant entered = mClock.Now();
-  const Instant end = entered + aRequest.patience;
-  AskLine::Verdict verdict =
+  const Instant end = entered + aRequest.maxWait;
+  SlotRequestLimiter::Verdict verdict =
     mLine.Enter(ticket, aRequest.instance, aRequest.priority, entered);
-  if (std::holds_alternative<AskLine::MustWait>(verdict)) {
-    while (!aPending->turn && !aPending->context->IsOver() &&
+  if (std::holds_alternative<SlotRequestLimiter::MustWait>(verdict)) {
+    while (!aPending->turn && !aPending->context->IsCancelled() &&
            mClock.Now() < end) {
       co_await WaitFor(aPending, end);
     }
     if (!aPending->turn) {
       mLine.Leave(ticket, aRequest.instance);
-      aPending->outcome =
-        NoSlot{ UpstreamSet::Hindrance::Full, Duration(kLeftAlone) };
+      aPending->outcome = SlotUnavailable{ UpstreamSet::UnavailableReason::Full,
+                                           Duration(kLeftAlone) };
       co_return false;
     }
     verdict = *aPending->turn;
   }
-  if (const auto* full = std::get_if<AskLine::IsFull>(&verdict)) {
+  if (const auto* full = std::get_if<SlotRequestLimiter::IsFull>(&verdict)) {
     aPending->outcome =
-      NoSlot{ UpstreamSet::Hindrance::Full, full->retryAfter };
+      SlotUnavailable{ UpstreamSet::UnavailableReason::Full, full->retryAfter };
     co_return false;
   }
   co_return true;
 }
 
 asio::awaitable<void>
-SlotDesk::AskInTurn(std::shared_ptr<Pending> aPending,
-                    std::string aHome,
-                    SlotRequest aRequest)
+SlotCoordinator::AskInTurn(std::shared_ptr<Pending> aPending,
+                           std::string aHome,
+                           SlotRequest aRequest)
 {
-  const Instant end = mClock.Now() + aRequest.patience;
+  const Instant end = mClock.Now() + aRequest.maxWait;
   if (!co_await AwaitTurn(aPending, aRequest)) {
     co_return;
   }
   // While it waited, the home may have been found to be silent.
-  if (!aPending->context->IsOver() && !IsSilent(aHome)) {
+  if (!aPending->context->IsCancelled() && !IsSilent(aHome)) {
     const Duration left = std::max(end - mClock.Now(), Duration::zero());
-    aRequest.aim -= std::min(aRequest.patience - left, aRequest.aim);
-    aRequest.held -= std::min(aRequest.patience - left, aRequest.held);
-    aRequest.patience = left;
+    aRequest.timeToObjective -=
+      std::min(aRequest.maxWait - left, aRequest.timeToObjective);
+    aRequest.maxHold -= std::min(aRequest.maxWait - left, aRequest.maxHold);
+    aRequest.maxWait = left;
     co_await AskHome(aPending, aHome, aRequest);
   }
   EndTurn(*aPending, aRequest);
 }
 
 void
-SlotDesk::EndTurn(const Pending& aPending, const SlotRequest& aRequest)
+SlotCoordinator::EndTurn(const Pending& aPending, const SlotRequest& aRequest)
 {
   if (aPending.queued) {
     return; // Its turn ended when the home took it into its queue.
   }
   if (!aPending.outcome) {
     Tell(mLine.OnGivenUp(aRequest.instance));
-  } else if (const auto* none = std::get_if<NoSlot>(&*aPending.outcome)) {
+  } else if (const auto* none =
+               std::get_if<SlotUnavailable>(&*aPending.outcome)) {
     Tell(mLine.OnRefused(
       aRequest.instance, aRequest.priority, none->retryAfter, mClock.Now()));
   } else {
@@ -317,32 +321,32 @@
 }
 
 void
-SlotDesk::Tell(const std::vector<AskLine::Turn>& aTurns)
+SlotCoordinator::Tell(const std::vector<SlotRequestLimiter::Turn>& aTurns)
 {
-  for (const AskLine::Turn& turn : aTurns) {
+  for (const SlotRequestLimiter::Turn& turn : aTurns) {
     const auto found = mPending.find(turn.ticket);
     if (found != mPending.end()) {
       found->second->turn = turn.verdict;
-      found->second->context->Wake().cancel();
+      found->second->context->WakeTimer().cancel();
     }
   }
 }
 
 asio::awaitable<void>
-SlotDesk::AskHere(std::shared_ptr<Pending> aPending,
-                  const SlotRequest& aRequest)
+SlotCoordinator::AskHere(std::shared_ptr<Pending> aPending,
+                         const SlotRequest& aRequest)
 {
-  const Instant end = mClock.Now() + aRequest.held;
+  const Instant end = mClock.Now() + aRequest.maxHold;
   Deliver(mBroker.Ask(aRequest, mClock.Now()));
-  while (!aPending->outcome && !aPending->context->IsOver() &&
+  while (!aPending->outcome && !aPending->context->IsCancelled() &&
          mClock.Now() < end) {
     co_await WaitFor(aPending, end);
   }
 }
 
 asio::awaitable<SlotOutcome>
-SlotDesk::Acquire(std::shared_ptr<RequestContext> aContext,
-                  SlotRequest aRequest)
+SlotCoordinator::Acquire(std::shared_ptr<RequestContext> aContext,
+                         SlotRequest aRequest)
 {
   const UpstreamSet& upstreams = mBroker.Upstreams();
   aRequest.group = aRequest.instance.empty()
@@ -362,28 +366,28 @@
     // Safeguard: a home that was cut off may not know yet that an upstream
     // leaves. What this host knows itself goes first: a leaving upstream that
     // gets new work may end while it runs.
-    Release(*slot, TryEnd::Abandoned, {});
+    Release(*slot, AttemptOutcome::Abandoned, {});
     aRequest.excluded.insert(slot->instance);
     outcome.reset();
   }
-  if (!outcome && !aContext->IsOver()) {
+  if (!outcome && !aContext->IsCancelled()) {
     aRequest.alone = !home.empty() && home != mSelf;
     if (aRequest.alone && !aRequest.calm) {
-      co_return NoSlot{ UpstreamSet::Hindrance::Full,
-                        Duration(kBusyRetryAfter) };
+      co_return SlotUnavailable{ UpstreamSet::UnavailableReason::Full,
+                                 Duration(kBusyRetryAfter) };
     }
     aRequest.cold =
       home.empty() || MayKeepCold(aRequest.service, aRequest.group);
     outcome = co_await AcquireFrom({}, aContext, aRequest);
   }
-  co_return outcome.value_or(
-    NoSlot{ UpstreamSet::Hindrance::Full, Duration(kLeftAlone) });
+  co_return outcome.value_or(SlotUnavailable{
+    UpstreamSet::UnavailableReason::Full, Duration(kLeftAlone) });
 }
 
 asio::awaitable<std::optional<SlotOutcome>>
-SlotDesk::AcquireFrom(std::string aHome,
-                      std::shared_ptr<RequestContext> aContext,
-                      SlotRequest aRequest)
+SlotCoordinator::AcquireFrom(std::string aHome,
+                             std::shared_ptr<RequestContext> aContext,
+                             SlotRequest aRequest)
 {
   const uint64_t ticket = ++mLastTicket;
   aRequest.key = { mSession, ticket };
@@ -403,24 +407,25 @@
   if (!pending->outcome) {
     // The caller left, or the answer is late: the slot may still be granted.
     if (aHome.empty() || pending->asked) {
-      Release(Slot{ ticket, aHome, {}, {} }, TryEnd::Abandoned, {});
+      Release(Slot{ ticket, aHome, {}, {} }, AttemptOutcome::Abandoned, {});
     }
     const bool silent = !pending->queued;
-    co_return silent ? std::nullopt
-                     : std::optional<SlotOutcome>(NoSlot{
-                         UpstreamSet::Hindrance::Full, Duration(kLeftAlone) });
+    co_return silent
+      ? std::nullopt
+      : std::optional<SlotOutcome>(SlotUnavailable{
+          UpstreamSet::UnavailableReason::Full, Duration(kLeftAlone) });
   }
   if (auto* slot = std::get_if<Slot>(&*pending->outcome)) {
     slot->home = aHome;
     const UpstreamSet& upstreams = mBroker.Upstreams();
     slot->address = upstreams.UsableAddress(slot->instance, mClock.Now());
-    slot->life = upstreams.LifeOf(slot->instance);
+    slot->incarnation = upstreams.IncarnationOf(slot->instance);
   }
   co_return pending->outcome;
 }
 
 void
-SlotDesk::Release(const Slot& aSlot, TryEnd aEnd, Duration aTook)
+SlotCoordinator::Release(const Slot& aSlot, AttemptOutcome aEnd, Duration aTook)
 {
   if (aSlot.home.empty()) {
     Deliver(
@@ -431,10 +436,10 @@
 }
 
 void
-SlotDesk::SendDone(const std::string& aHome,
-                   uint64_t aTicket,
-                   TryEnd aEnd,
-                   Duration aTook)
+SlotCoordinator::SendDone(const std::string& aHome,
+                          uint64_t aTicket,
+                          AttemptOutcome aEnd,
+                          Duration aTook)
 {
   wire::GatewayFrame frame;
   wire::SlotDone* done = frame.mutable_slot_done();
@@ -447,7 +452,7 @@
 }
 
 void
-SlotDesk::OnAsk(const wire::SlotAsk& aAsk)
+SlotCoordinator::OnSlotRequest(const wire::SlotAsk& aAsk)
 {
   mAskers[aAsk.session()] = aAsk.reply_to();
   const UpstreamSet& upstreams = mBroker.Upstreams();
@@ -467,7 +472,7 @@
 /// than others of a new upstream. A refusal of it would say that no upstream
 /// can run the request; the one who asks knows better, and goes by itself.
 void
-SlotDesk::Decline(const wire::SlotAsk& aAsk)
+SlotCoordinator::Decline(const wire::SlotAsk& aAsk)
 {
   wire::GatewayFrame frame;
   wire::SlotAnswer* answer = frame.mutable_slot_answer();
@@ -478,11 +483,12 @@
 }
 
 void
-SlotDesk::OnDone(const wire::SlotDone& aDone)
+SlotCoordinator::OnSlotRelease(const wire::SlotDone& aDone)
 {
-  const auto end = aDone.end() <= static_cast<uint32_t>(TryEnd::Abandoned)
-                     ? static_cast<TryEnd>(aDone.end())
-                     : TryEnd::Abandoned;
+  const auto end =
+    aDone.end() <= static_cast<uint32_t>(AttemptOutcome::Abandoned)
+      ? static_cast<AttemptOutcome>(aDone.end())
+      : AttemptOutcome::Abandoned;
   Deliver(mBroker.Done({ aDone.session(), aDone.ticket() },
                        end,
                        std::chrono::microseconds{ aDone.took_us() },
@@ -490,7 +496,7 @@
 }
 
 void
-SlotDesk::OnAnswer(const wire::SlotAnswer& aAnswer)
+SlotCoordinator::OnSlotAnswer(const wire::SlotAnswer& aAnswer)
 {
   if (aAnswer.session() != mSession) {
     return;
@@ -503,7 +509,7 @@
     case wire::SLOT_STATE_REFUSED:
       TakeOwn(key.ticket,
               SlotRefused{ key,
-                           UpstreamSet::Hindrance::Full,
+                           UpstreamSet::UnavailableReason::Full,
                            milliseconds{ aAnswer.retry_after_ms() } });
       return;
     case wire::SLOT_STATE_QUEUED:
@@ -518,7 +524,7 @@
 }
 
 void
-SlotDesk::TakeOwn(uint64_t aTicket, const SlotAnswer& aAnswer)
+SlotCoordinator::TakeOwn(uint64_t aTicket, const SlotAnswer& aAnswer)
 {
   const auto found = mPending.find(aTicket);
   if (found == mPending.end()) {
@@ -528,26 +534,26 @@
   if (const auto* granted = std::get_if<SlotGranted>(&aAnswer)) {
     pending.outcome = Slot{ aTicket, {}, granted->instance, granted->address };
   } else if (const auto* refused = std::get_if<SlotRefused>(&aAnswer)) {
-    pending.outcome = NoSlot{ refused->hindrance, refused->retryAfter };
+    pending.outcome = SlotUnavailable{ refused->reason, refused->retryAfter };
   } else if (!std::exchange(pending.queued, true) && pending.asked &&
              !pending.instance.empty()) {
     Tell(mLine.OnQueued(pending.instance));
   }
-  pending.context->Wake().cancel();
+  pending.context->WakeTimer().cancel();
 }
 
 void
-SlotDesk::NoteDeclined(uint64_t aTicket)
+SlotCoordinator::NoteDeclined(uint64_t aTicket)
 {
   const auto found = mPending.find(aTicket);
   if (found != mPending.end()) {
     found->second->declined = true;
-    found->second->context->Wake().cancel();
+    found->second->context->WakeTimer().cancel();
   }
 }
 
 void
-SlotDesk::Deliver(const std::vector<SlotAnswer>& aAnswers)
+SlotCoordinator::Deliver(const std::vector<SlotAnswer>& aAnswers)
 {
   for (const SlotAnswer& answer : aAnswers) {
     Deliver(answer);
@@ -555,7 +561,7 @@
 }
 
 void
-SlotDesk::Deliver(const SlotAnswer& aAnswer)
+SlotCoordinator::Deliver(const SlotAnswer& aAnswer)
 {
   const SlotKey key = KeyOf(aAnswer);
   if (key.session == mSession) {
@@ -571,7 +577,7 @@
 }
 
 void
-SlotDesk::Tick()
+SlotCoordinator::Tick()
 {
   Deliver(mBroker.Tick(mClock.Now()));
   mLine.Sweep(mClock.Now());
--- a/src/librattandyke/gateway/slot_desk.h
+++ b/src/librattandyke/gateway/slot_coordinator.h
@@ -13,9 +13,9 @@
 #include <rattandyke/types.h>
 
 #include "base/clock.h"
-#include "gateway/ask_line.h"
 #include "gateway/request_context.h"
 #include "gateway/slot_broker.h"
+#include "gateway/slot_request_limiter.h"
 #include "wire/gateway.pb.h"
 
 namespace rattandyke::gateway {
@@ -29,17 +29,17 @@
   std::string instance;
   std::string address;
   /// Of the instance's process.
-  uint64_t life = 0;
+  uint64_t incarnation = 0;
 };
 
 /// Why a request has none.
-struct NoSlot
+struct SlotUnavailable
 {
-  UpstreamSet::Hindrance hindrance = UpstreamSet::Hindrance::Full;
+  UpstreamSet::UnavailableReason reason = UpstreamSet::UnavailableReason::Full;
   Duration retryAfter{};
 };
 
-using SlotOutcome = std::variant<Slot, NoSlot>;
+using SlotOutcome = std::variant<Slot, SlotUnavailable>;
 
 /// Each upstream's slots are kept by one entry host, its home, which all hosts
 /// find by the replicated list of entries. A request asks the home of the
@@ -47,7 +47,7 @@
 /// upstreams. While a home is silent, the entry goes by what it knows itself:
 /// the loss of a home costs some order, and no service. Runs on one executor
 /// that runs one handler at a time.
-class SlotDesk
+class SlotCoordinator
 {
 public:
   using StateAge = std::function<Duration()>;
@@ -57,14 +57,14 @@
   /// @param aSelf   this host's address for peers.
   /// @param aSession random per process start.
   /// @param aStateAge time since this host was assured of the state.
-  SlotDesk(boost::asio::any_io_executor aExecutor,
-           std::string aSelf,
-           uint64_t aSession,
-           Send aSend,
-           const Clock& aClock,
-           uint64_t aSeed,
-           const UpstreamSet::Options& aOptions,
-           StateAge aStateAge);
+  SlotCoordinator(boost::asio::any_io_executor aExecutor,
+                  std::string aSelf,
+                  uint64_t aSession,
+                  Send aSend,
+                  const Clock& aClock,
+                  uint64_t aSeed,
+                  const UpstreamSet::Options& aOptions,
+                  StateAge aStateAge);
 
   /// The replicated state was replaced as a whole.
   void StateChanged(const State& aState);
@@ -73,21 +73,21 @@
   /// that starts or is replaced brings a command for each host and upstream.
   void StateChanged(const State& aState, const wire::GatewayCommand& aCommand);
 
-  void OnAsk(const wire::SlotAsk& aAsk);
-  void OnAnswer(const wire::SlotAnswer& aAnswer);
-  void OnDone(const wire::SlotDone& aDone);
+  void OnSlotRequest(const wire::SlotAsk& aAsk);
+  void OnSlotAnswer(const wire::SlotAnswer& aAnswer);
+  void OnSlotRelease(const wire::SlotDone& aDone);
 
   /// @param aRequest its key is set here.
   boost::asio::awaitable<SlotOutcome> Acquire(
     std::shared_ptr<RequestContext> aContext,
     SlotRequest aRequest);
 
-  void Release(const Slot& aSlot, TryEnd aEnd, Duration aTook);
+  void Release(const Slot& aSlot, AttemptOutcome aEnd, Duration aTook);
 
   /// An upstream has told its load.
-  void NoteTold(const std::string& aInstance, const ToldLoad& aLoad)
+  void RecordLoadReport(const std::string& aInstance, const LoadReport& aLoad)
   {
-    mBroker.NoteTold(aInstance, aLoad, mClock.Now());
+    mBroker.RecordLoadReport(aInstance, aLoad, mClock.Now());
   }
 
   /// Call it every SlotBroker::kTick.
@@ -95,10 +95,10 @@
 
   const SlotBroker& Broker() const { return mBroker; }
 
-  /// UpstreamSet::TakeNewTimes.
-  std::map<std::string, double> TakeNewTimes()
+  /// UpstreamSet::TakeChangedResponseSeconds.
+  std::map<std::string, double> TakeChangedResponseSeconds()
   {
-    return mBroker.TakeNewTimes();
+    return mBroker.TakeChangedResponseSeconds();
   }
 
 private:
@@ -125,7 +125,7 @@
     /// It may do without its home if that takes long.
     bool calm = false;
     /// What the line said to the request while it waited.
-    std::optional<AskLine::Verdict> turn;
+    std::optional<SlotRequestLimiter::Verdict> turn;
     std::optional<SlotOutcome> outcome;
   };
 
@@ -162,7 +162,7 @@
                                          std::string aHome,
                                          SlotRequest aRequest);
   void EndTurn(const Pending& aPending, const SlotRequest& aRequest);
-  void Tell(const std::vector<AskLine::Turn>& aTurns);
+  void Tell(const std::vector<SlotRequestLimiter::Turn>& aTurns);
   boost::asio::awaitable<void> AskHere(std::shared_ptr<Pending> aPending,
                                        const SlotRequest& aRequest);
   boost::asio::awaitable<void> WaitFor(std::shared_ptr<Pending> aPending,
@@ -174,7 +174,7 @@
   void TakeOwn(uint64_t aTicket, const SlotAnswer& aAnswer);
   void SendDone(const std::string& aHome,
                 uint64_t aTicket,
-                TryEnd aEnd,
+                AttemptOutcome aEnd,
                 Duration aTook);
 
   const boost::asio::any_io_executor mExecutor;
@@ -191,7 +191,7 @@
   /// Where the sessions that ask here are reached.
   std::map<uint64_t, std::string> mAskers;
   std::map<std::string, Instant> mSilentUntil;
-  AskLine mLine;
+  SlotRequestLimiter mLine;
   /// Moving average of the time until a home says something.
   Duration mAskTime{};
   /// Asking takes so long that this host does without where it can.
--- a/src/librattandyke/gateway/slot_desk_homes.cpp
+++ b/src/librattandyke/gateway/slot_coordinator_homes.cpp
@@ -1,5 +1,5 @@
 // Which host keeps an upstream's slots, and when a request does without it.
-#include "gateway/slot_desk.h"
+#include "gateway/slot_coordinator.h"
 
 #include <algorithm>
 
@@ -32,7 +32,7 @@
 } // namespace
 
 void
-SlotDesk::AddEntry(const std::string& aAddress)
+SlotCoordinator::AddEntry(const std::string& aAddress)
 {
   const auto at =
     std::lower_bound(mEntries.begin(),
@@ -47,7 +47,7 @@
 }
 
 void
-SlotDesk::DropEntry(const std::string& aAddress)
+SlotCoordinator::DropEntry(const std::string& aAddress)
 {
   std::erase_if(
     mEntries, [&](const Entry& aEntry) { return aEntry.address == aAddress; });
@@ -57,7 +57,7 @@
 /// comes or goes, only the groups that it takes or leaves change their home.
 /// Each request finds one, so that entries' names are hashed only once.
 std::string
-SlotDesk::HomeOf(const std::string& aService, uint32_t aGroup) const
+SlotCoordinator::HomeOf(const std::string& aService, uint32_t aGroup) const
 {
   const uint64_t group =
     routing::HashOf(aService + "/" + std::to_string(aGroup));
@@ -74,7 +74,7 @@
 }
 
 bool
-SlotDesk::IsHomeOf(const std::string& aInstance) const
+SlotCoordinator::IsHomeOf(const std::string& aInstance) const
 {
   const UpstreamSet& upstreams = mBroker.Upstreams();
   return HomeOf(upstreams.ServiceOf(aInstance), upstreams.GroupOf(aInstance)) ==
@@ -83,7 +83,7 @@
 
 /// @return the cold upstreams of which this host is the home.
 std::vector<std::string>
-SlotDesk::ColdHere() const
+SlotCoordinator::ColdHere() const
 {
   std::vector<std::string> cold =
     mBroker.Upstreams().ColdInstances(mClock.Now());
@@ -95,7 +95,7 @@
 /// bears in the last second. Sent as much again by its next home, it would
 /// crash. So a new home waits until that second has passed.
 void
-SlotDesk::HoldOffNewCold(const std::vector<std::string>& aBefore)
+SlotCoordinator::HoldOffNewCold(const std::vector<std::string>& aBefore)
 {
   std::vector<std::string> cold = ColdHere();
   std::erase_if(cold, [&](const auto& aId) {
@@ -110,21 +110,21 @@
 /// keeps the slots of a cold upstream; the list of entries leaves one out only
 /// after a longer silence than this.
 bool
-SlotDesk::MayKeepCold(const std::string& aService, uint32_t aGroup) const
+SlotCoordinator::MayKeepCold(const std::string& aService, uint32_t aGroup) const
 {
   return mStateAge() < Duration(kAssuredHome) &&
          HomeOf(aService, aGroup) == mSelf;
 }
 
 bool
-SlotDesk::IsSilent(const std::string& aHome) const
+SlotCoordinator::IsSilent(const std::string& aHome) const
 {
   const auto found = mSilentUntil.find(aHome);
   return found != mSilentUntil.end() && mClock.Now() < found->second;
 }
 
 void
-SlotDesk::NoteAskTime(Duration aTime)
+SlotCoordinator::NoteAskTime(Duration aTime)
 {
   mAskTime += Scaled(aTime - mAskTime, kNewestAsk);
   if (mAskTime >= Duration(kSlowAsk)) {
@@ -138,7 +138,7 @@
 /// best there is, for two messages before each request. On links that are busy
 /// these wait at four queues, longer than the better choice gains.
 bool
-SlotDesk::ChoosesDirect(const SlotRequest& aRequest)
+SlotCoordinator::ChoosesDirect(const SlotRequest& aRequest)
 {
   const UpstreamSet& upstreams = mBroker.Upstreams();
   const Instant now = mClock.Now();
@@ -156,7 +156,7 @@
 /// never get an answer, and may not be sent again. A host that has wanted the
 /// owner a moment ago knows that it is busy, and leaves it to its home.
 bool
-SlotDesk::NoteWanted(const std::string& aInstance)
+SlotCoordinator::NoteWanted(const std::string& aInstance)
 {
   const Instant now = mClock.Now();
   Instant& wantedAt = mWantedAt[aInstance];
--- a/src/librattandyke/gateway/slot_desk_test.cpp
+++ b/src/librattandyke/gateway/slot_coordinator_test.cpp
@@ -1,4 +1,4 @@
-#include "gateway/slot_desk.h"
+#include "gateway/slot_coordinator.h"
 
 #include <algorithm>
 #include <deque>
@@ -30,7 +30,7 @@
 };
 
 /// One desk, whose upstreams' home is another host that the test plays.
-class SlotDeskTest : public ::testing::Test
+class SlotCoordinatorTest : public ::testing::Test
 {
 protected:
   void Know(bool aDraining = false)
@@ -61,8 +61,8 @@
       SlotRequest request;
       request.service = "desk";
       request.instance = "i-1";
-      request.patience = milliseconds{ 2000 };
-      request.held = milliseconds{ 2000 };
+      request.maxWait = milliseconds{ 2000 };
+      request.maxHold = milliseconds{ 2000 };
       asio::co_spawn(
         context,
         desk.Acquire(std::make_shared<RequestContext>(context.get_executor()),
@@ -83,7 +83,7 @@
     answer.set_instance("i-1");
     answer.set_retry_after_ms(200);
     asks.pop_front();
-    asio::post(context, [this, answer] { desk.OnAnswer(answer); });
+    asio::post(context, [this, answer] { desk.OnSlotAnswer(answer); });
   }
 
   size_t Slots() const
@@ -123,16 +123,16 @@
   /// What this entry answers as a home.
   std::vector<wire::SlotAnswer> answered;
   std::vector<SlotOutcome> outcomes;
-  SlotDesk desk{ context.get_executor(),
-                 "10.0.0.1:1",
-                 77,
-                 [this](const HostName&, const wire::GatewayFrame& aFrame) {
-                   Sent(aFrame);
-                 },
-                 clock,
-                 7,
-                 { std::chrono::seconds{ 2 } },
-                 [] { return Duration::zero(); } };
+  SlotCoordinator desk{
+    context.get_executor(),
+    "10.0.0.1:1",
+    77,
+    [this](const HostName&, const wire::GatewayFrame& aFrame) { Sent(aFrame); },
+    clock,
+    7,
+    { std::chrono::seconds{ 2 } },
+    [] { return Duration::zero(); }
+  };
 };
 
 /// @return the home that a desk asks for a slot of an upstream.
@@ -143,16 +143,16 @@
   SystemClock clock;
   asio::io_context context;
   std::string home;
-  SlotDesk desk{ context.get_executor(),
-                 "10.0.0.1:1",
-                 77,
-                 [&](const HostName& aTo, const wire::GatewayFrame&) {
-                   home = aTo.value;
-                 },
-                 clock,
-                 7,
-                 { std::chrono::seconds{ 2 } },
-                 [] { return Duration::zero(); } };
+  SlotCoordinator desk{ context.get_executor(),
+                        "10.0.0.1:1",
+                        77,
+                        [&](const HostName& aTo, const wire::GatewayFrame&) {
+                          home = aTo.value;
+                        },
+                        clock,
+                        7,
+                        { std::chrono::seconds{ 2 } },
+                        [] { return Duration::zero(); } };
   aTell(desk);
   SlotRequest request;
   request.service = "desk";
@@ -169,7 +169,7 @@
 // Entries come and go, and each hears of it command by command or, if it has
 // just started, with the whole state. All must ask the same home for a slot:
 // two homes would give away an upstream's slots twice.
-TEST(SlotDesk, CommandByCommandHasTheSameHomes)
+TEST(SlotCoordinator, CommandByCommandHasTheSameHomes)
 {
   std::vector<wire::GatewayCommand> commands(1);
   wire::UpstreamInstance* instance =
@@ -189,7 +189,7 @@
     commands.emplace_back().mutable_drop_entry()->set_address(address(number));
   }
   State state;
-  const std::string followed = HomeAsked([&](SlotDesk& aDesk) {
+  const std::string followed = HomeAsked([&](SlotCoordinator& aDesk) {
     uint64_t index = 0;
     aDesk.StateChanged(state);
     for (const wire::GatewayCommand& command : commands) {
@@ -198,7 +198,7 @@
     }
   });
   const std::string whole =
-    HomeAsked([&](SlotDesk& aDesk) { aDesk.StateChanged(state); });
+    HomeAsked([&](SlotCoordinator& aDesk) { aDesk.StateChanged(state); });
   EXPECT_EQ(followed, whole);
   EXPECT_TRUE(state.Entries().contains(followed)) << followed;
 }
@@ -206,7 +206,7 @@
 // Three hundred requests for one key arrive at an entry at once. The home of
 // its owner's slots hears of 64 at a time, which is what it can take from all
 // entries together, and all get their slots in turn.
-TEST_F(SlotDeskTest, HomeHearsFewAsksAtOnce)
+TEST_F(SlotCoordinatorTest, HomeHearsFewAsksAtOnce)
 {
   Know();
   Acquire(300);
@@ -223,7 +223,7 @@
 
 // The home refuses one request. The others, which it would refuse, too, have
 // their answer at once, without being asked for.
-TEST_F(SlotDeskTest, RefusalIsSharedByThoseThatWait)
+TEST_F(SlotCoordinatorTest, RefusalIsSharedByThoseThatWait)
 {
   Know();
   answers = wire::SLOT_STATE_REFUSED;
@@ -237,7 +237,7 @@
 // A home was cut off before it heard that an upstream leaves, and gives a slot
 // there. The asking entry knows better: it gives the slot back, since the
 // upstream may end while the request runs.
-TEST_F(SlotDeskTest, SlotAtLeavingUpstreamIsGivenBack)
+TEST_F(SlotCoordinatorTest, SlotAtLeavingUpstreamIsGivenBack)
 {
   Know(true);
   clock.Advance(std::chrono::seconds{ 2 });
@@ -245,12 +245,13 @@
   Acquire();
   context.run_for(milliseconds{ 5 });
   ASSERT_EQ(ends.size(), 1U);
-  EXPECT_EQ(ends.front().end(), static_cast<uint32_t>(TryEnd::Abandoned));
+  EXPECT_EQ(ends.front().end(),
+            static_cast<uint32_t>(AttemptOutcome::Abandoned));
 }
 
 // With a drain timeout of 2 s a leaving owner of keys still gets requests for
 // 0.9 s, until its keys have another holder.
-TEST_F(SlotDeskTest, LeavingOwnerIsUsedForAPartOfItsDrainTimeout)
+TEST_F(SlotCoordinatorTest, LeavingOwnerIsUsedForAPartOfItsDrainTimeout)
 {
   Know(true);
   clock.Advance(milliseconds{ 600 });
@@ -263,7 +264,7 @@
 
 // The home says nothing. The request goes by what this host knows itself, and
 // the next ones do not wait for the home again.
-TEST_F(SlotDeskTest, SilentHomeIsLeftAlone)
+TEST_F(SlotCoordinatorTest, SilentHomeIsLeftAlone)
 {
   Know();
   Acquire();
@@ -279,7 +280,7 @@
 
 // Alone, an entry takes a part of the slots only: the others that are alone, as
 // well, would overrun the upstream together.
-TEST_F(SlotDeskTest, AloneTakesAPartOfTheSlots)
+TEST_F(SlotCoordinatorTest, AloneTakesAPartOfTheSlots)
 {
   Know();
   Acquire();
@@ -294,7 +295,7 @@
 // sends the owner one request by itself; more would be more than it has places
 // for, and those beyond never get an answer. The next caller is told at once to
 // come back.
-TEST_F(SlotDeskTest, ManyEntriesLeaveABusyOwnerToItsHome)
+TEST_F(SlotCoordinatorTest, ManyEntriesLeaveABusyOwnerToItsHome)
 {
   Know();
   for (int number = 0; number < 30; ++number) {
@@ -311,16 +312,16 @@
   context.restart();
   context.run();
   ASSERT_EQ(outcomes.size(), 2U);
-  const auto* none = std::get_if<NoSlot>(&outcomes.back());
+  const auto* none = std::get_if<SlotUnavailable>(&outcomes.back());
   ASSERT_NE(none, nullptr);
-  EXPECT_EQ(none->hindrance, UpstreamSet::Hindrance::Full);
+  EXPECT_EQ(none->reason, UpstreamSet::UnavailableReason::Full);
   EXPECT_GT(none->retryAfter, Duration::zero());
 }
 
 // All hosts were restarted; an entry has the state and the home of an upstream
 // has none yet. The home must not say that it knows no such upstream, which
 // would end the request: it declines, and the entry goes by itself at once.
-TEST_F(SlotDeskTest, HomeWithoutStateDeclines)
+TEST_F(SlotCoordinatorTest, HomeWithoutStateDeclines)
 {
   wire::SlotAsk ask;
   ask.set_reply_to("10.0.0.2:1");
@@ -328,13 +329,13 @@
   ask.set_ticket(9);
   ask.set_service("desk");
   ask.set_instance("i-1");
-  desk.OnAsk(ask);
+  desk.OnSlotRequest(ask);
   ASSERT_EQ(answered.size(), 1U);
   EXPECT_EQ(answered.front().state(), wire::SLOT_STATE_UNKNOWN);
   EXPECT_EQ(answered.front().ticket(), 9U);
 }
 
-TEST_F(SlotDeskTest, EntryGoesByItselfWhenTheHomeDeclines)
+TEST_F(SlotCoordinatorTest, EntryGoesByItselfWhenTheHomeDeclines)
 {
   Know();
   answers = wire::SLOT_STATE_UNKNOWN;
@@ -347,7 +348,7 @@
 // The home keeps in its queue as many requests as the entry may ask for at
 // once. They cost it nothing more, and must not keep others from asking that
 // are more urgent, or can still be in time.
-TEST_F(SlotDeskTest, RequestsInTheHomesQueueLetOthersAsk)
+TEST_F(SlotCoordinatorTest, RequestsInTheHomesQueueLetOthersAsk)
 {
   Know();
   answers = wire::SLOT_STATE_QUEUED;
--- a/src/librattandyke/gateway/ask_line.cpp
+++ b/src/librattandyke/gateway/slot_request_limiter.cpp
@@ -1,4 +1,4 @@
-#include "gateway/ask_line.h"
+#include "gateway/slot_request_limiter.h"
 
 #include <algorithm>
 
@@ -25,13 +25,13 @@
 
 } // namespace
 
-AskLine::AskLine(size_t aEntries)
+SlotRequestLimiter::SlotRequestLimiter(size_t aEntries)
 {
   SetEntries(aEntries);
 }
 
 void
-AskLine::SetEntries(size_t aEntries)
+SlotRequestLimiter::SetEntries(size_t aEntries)
 {
   const size_t entries = std::max<size_t>(aEntries, 1);
   mMostAsking =
@@ -40,11 +40,11 @@
     std::chrono::duration<double>(static_cast<double>(entries) / kAsksASecond));
 }
 
-AskLine::Verdict
-AskLine::Enter(uint64_t aTicket,
-               const std::string& aInstance,
-               uint32_t aPriority,
-               Instant aNow)
+SlotRequestLimiter::Verdict
+SlotRequestLimiter::Enter(uint64_t aTicket,
+                          const std::string& aInstance,
+                          uint32_t aPriority,
+                          Instant aNow)
 {
   Line& line = mLines[aInstance];
   if (aNow < line.fullUntil && aPriority >= line.fullPriority) {
@@ -59,7 +59,7 @@
 }
 
 void
-AskLine::Leave(uint64_t aTicket, const std::string& aInstance)
+SlotRequestLimiter::Leave(uint64_t aTicket, const std::string& aInstance)
 {
   const auto found = mLines.find(aInstance);
   if (found != mLines.end()) {
@@ -69,8 +69,8 @@
   }
 }
 
-std::vector<AskLine::Turn>
-AskLine::PassOn(Line& aLine) const
+std::vector<SlotRequestLimiter::Turn>
+SlotRequestLimiter::PassOn(Line& aLine) const
 {
   aLine.asking -= aLine.asking > 0 ? 1 : 0;
   std::vector<Turn> turns;
@@ -86,14 +86,14 @@
 /// A request in the home's queue costs the home nothing more. Were it counted
 /// as asking until it has a slot, those that wait for a late answer would keep
 /// others from asking whose answers may be in time.
-std::vector<AskLine::Turn>
-AskLine::OnQueued(const std::string& aInstance)
+std::vector<SlotRequestLimiter::Turn>
+SlotRequestLimiter::OnQueued(const std::string& aInstance)
 {
   return OnGranted(aInstance);
 }
 
-std::vector<AskLine::Turn>
-AskLine::OnGranted(const std::string& aInstance)
+std::vector<SlotRequestLimiter::Turn>
+SlotRequestLimiter::OnGranted(const std::string& aInstance)
 {
   Line& line = mLines[aInstance];
   line.refusals = 0;
@@ -101,11 +101,11 @@
   return PassOn(line);
 }
 
-std::vector<AskLine::Turn>
-AskLine::OnRefused(const std::string& aInstance,
-                   uint32_t aPriority,
-                   Duration aRetryAfter,
-                   Instant aNow)
+std::vector<SlotRequestLimiter::Turn>
+SlotRequestLimiter::OnRefused(const std::string& aInstance,
+                              uint32_t aPriority,
+                              Duration aRetryAfter,
+                              Instant aNow)
 {
   Line& line = mLines[aInstance];
   const Duration full = std::min<Duration>(
@@ -126,14 +126,14 @@
   return turns;
 }
 
-std::vector<AskLine::Turn>
-AskLine::OnGivenUp(const std::string& aInstance)
+std::vector<SlotRequestLimiter::Turn>
+SlotRequestLimiter::OnGivenUp(const std::string& aInstance)
 {
   return PassOn(mLines[aInstance]);
 }
 
 void
-AskLine::Sweep(Instant aNow)
+SlotRequestLimiter::Sweep(Instant aNow)
 {
   std::erase_if(mLines, [&](const auto& aItem) {
     const Line& line = aItem.second;
--- a/src/librattandyke/gateway/ask_line.h
+++ b/src/librattandyke/gateway/slot_request_limiter.h
@@ -20,7 +20,7 @@
 /// what a home hears of one upstream to some tens of asks at once and some
 /// hundreds a second, whatever the requests and the number of entries. Does no
 /// I/O. Not thread-safe.
-class AskLine
+class SlotRequestLimiter
 {
 public:
   /// The request asks now; one of the On... calls must tell how that ends.
@@ -46,7 +46,7 @@
 
   /// @param aEntries entry hosts that may ask the same homes, this one
   /// included.
-  explicit AskLine(size_t aEntries = 1);
+  explicit SlotRequestLimiter(size_t aEntries = 1);
 
   void SetEntries(size_t aEntries);
 
--- a/src/librattandyke/gateway/ask_line_test.cpp
+++ b/src/librattandyke/gateway/slot_request_limiter_test.cpp
@@ -1,4 +1,4 @@
-#include "gateway/ask_line.h"
+#include "gateway/slot_request_limiter.h"
 
 #include <set>
 
@@ -9,11 +9,11 @@
 namespace {
 
 using std::chrono::milliseconds;
-using MayAsk = AskLine::MayAsk;
-using MustWait = AskLine::MustWait;
-using IsFull = AskLine::IsFull;
+using MayAsk = SlotRequestLimiter::MayAsk;
+using MustWait = SlotRequestLimiter::MustWait;
+using IsFull = SlotRequestLimiter::IsFull;
 
-class AskLineTest : public ::testing::Test
+class SlotRequestLimiterTest : public ::testing::Test
 {
 protected:
   template<typename Verdict>
@@ -24,13 +24,13 @@
   }
 
   Instant now{ std::chrono::hours{ 1 } };
-  AskLine line{ 64 };
+  SlotRequestLimiter line{ 64 };
 };
 
 // Hundreds of requests for one upstream arrive at an entry at once. An ask for
 // each would keep the upstream's home so busy that it seems silent; only a few
 // are under way, and the next one goes when one of them has its slot.
-TEST_F(AskLineTest, FewAsksAreUnderWayForOneUpstream)
+TEST_F(SlotRequestLimiterTest, FewAsksAreUnderWayForOneUpstream)
 {
   EXPECT_TRUE(Enters<MayAsk>(1));
   EXPECT_TRUE(Enters<MayAsk>(2));
@@ -43,14 +43,14 @@
   EXPECT_TRUE(std::holds_alternative<MayAsk>(turns.front().verdict));
 }
 
-TEST_F(AskLineTest, OtherUpstreamsAreNotHeldUp)
+TEST_F(SlotRequestLimiterTest, OtherUpstreamsAreNotHeldUp)
 {
   Enters<MayAsk>(1);
   Enters<MayAsk>(2);
   EXPECT_TRUE(std::holds_alternative<MayAsk>(line.Enter(3, "i-2", 1, now)));
 }
 
-TEST_F(AskLineTest, MoreUrgentRequestsGoFirst)
+TEST_F(SlotRequestLimiterTest, MoreUrgentRequestsGoFirst)
 {
   Enters<MayAsk>(1);
   Enters<MayAsk>(2);
@@ -62,7 +62,7 @@
 // A home refuses a request, since its queue is too long. Those that wait at the
 // entry, and are no more urgent, would be refused, too: they are told at once,
 // while their callers can still use their time.
-TEST_F(AskLineTest, RefusalHoldsForThoseThatWait)
+TEST_F(SlotRequestLimiterTest, RefusalHoldsForThoseThatWait)
 {
   Enters<MayAsk>(1);
   Enters<MayAsk>(2);
@@ -72,7 +72,7 @@
   const auto turns = line.OnRefused("i-1", 1, milliseconds{ 300 }, now);
   std::set<uint64_t> refused;
   std::set<uint64_t> asking;
-  for (const AskLine::Turn& turn : turns) {
+  for (const SlotRequestLimiter::Turn& turn : turns) {
     (std::holds_alternative<IsFull>(turn.verdict) ? refused : asking)
       .insert(turn.ticket);
   }
@@ -80,7 +80,7 @@
   EXPECT_EQ(asking, (std::set<uint64_t>{ 5 }));
 }
 
-TEST_F(AskLineTest, RefusalEndsByItself)
+TEST_F(SlotRequestLimiterTest, RefusalEndsByItself)
 {
   Enters<MayAsk>(1);
   line.OnRefused("i-1", 1, milliseconds{ 300 }, now);
@@ -93,7 +93,7 @@
 // A caller comes back after the time that it is told, and only once. Near the
 // end of the hold it must not be told a few milliseconds: the queue is as long
 // as before.
-TEST_F(AskLineTest, HeldRefusalTellsTheHomesTime)
+TEST_F(SlotRequestLimiterTest, HeldRefusalTellsTheHomesTime)
 {
   Enters<MayAsk>(1);
   line.OnRefused("i-1", 1, milliseconds{ 300 }, now);
@@ -103,7 +103,7 @@
   EXPECT_EQ(std::get<IsFull>(verdict).retryAfter, milliseconds{ 300 });
 }
 
-TEST_F(AskLineTest, RefusalsThatGoOnAreAskedForLessOften)
+TEST_F(SlotRequestLimiterTest, RefusalsThatGoOnAreAskedForLessOften)
 {
   size_t asks = 0;
   for (uint64_t ticket = 1; ticket <= 2000; ++ticket) {
@@ -122,7 +122,7 @@
 
 // With few entries none has to hold back for the others: the home can hear all
 // asks, and its queue is the only one.
-TEST_F(AskLineTest, FewEntriesAskMore)
+TEST_F(SlotRequestLimiterTest, FewEntriesAskMore)
 {
   line.SetEntries(8);
   for (uint64_t ticket = 1; ticket <= 8; ++ticket) {
@@ -135,7 +135,7 @@
   EXPECT_TRUE(Enters<MayAsk>(9));
 }
 
-TEST_F(AskLineTest, ForgetsUpstreamsThatNobodyAsksFor)
+TEST_F(SlotRequestLimiterTest, ForgetsUpstreamsThatNobodyAsksFor)
 {
   Enters<MayAsk>(1);
   line.Sweep(now);
@@ -147,14 +147,15 @@
 
 // Whatever the order in which requests come, go, get slots and are refused: no
 // more than two asks are under way, and while one could be, nobody waits.
-RC_GTEST_PROP(AskLineProperty, NobodyWaitsWhileFewAsk, ())
+RC_GTEST_PROP(SlotRequestLimiterProperty, NobodyWaitsWhileFewAsk, ())
 {
-  AskLine line(64);
+  SlotRequestLimiter line(64);
   Instant now{ std::chrono::hours{ 1 } };
   std::set<uint64_t> asking;
   std::set<uint64_t> waiting;
   uint64_t last = 0;
-  const auto note = [&](uint64_t aTicket, const AskLine::Verdict& aVerdict) {
+  const auto note = [&](uint64_t aTicket,
+                        const SlotRequestLimiter::Verdict& aVerdict) {
     waiting.erase(aTicket);
     if (std::holds_alternative<MayAsk>(aVerdict)) {
       asking.insert(aTicket);
@@ -166,7 +167,7 @@
     *rc::gen::container<std::vector<int>>(200, rc::gen::inRange(0, 6));
   for (const int step : steps) {
     now += milliseconds{ 7 };
-    std::vector<AskLine::Turn> turns;
+    std::vector<SlotRequestLimiter::Turn> turns;
     if (step <= 2) {
       const uint64_t ticket = ++last;
       note(ticket, line.Enter(ticket, "i", ticket % 3, now));
@@ -178,7 +179,7 @@
       turns = step == 4 ? line.OnGranted("i")
                         : line.OnRefused("i", 1, milliseconds{ 90 }, now);
     }
-    for (const AskLine::Turn& turn : turns) {
+    for (const SlotRequestLimiter::Turn& turn : turns) {
       RC_ASSERT(waiting.contains(turn.ticket));
       note(turn.ticket, turn.verdict);
     }
--- a/src/librattandyke/gateway/state.cpp
+++ b/src/librattandyke/gateway/state.cpp
@@ -66,7 +66,7 @@
 {
   // Checked again here: another change may have been committed since the leader
   // checked this one.
-  return mItems.Submit(aCommand);
+  return mItems.CheckAndApply(aCommand);
 }
 
 bool
@@ -214,8 +214,8 @@
 State::On(const wire::EvacuateDataCentre& aCommand)
 {
   if (!aCommand.ends()) {
-    mEvacuated.insert(aCommand.data_centre());
-  } else if (mEvacuated.erase(aCommand.data_centre()) > 0) {
+    mEvacuatedDataCentres.insert(aCommand.data_centre());
+  } else if (mEvacuatedDataCentres.erase(aCommand.data_centre()) > 0) {
     AssumeCold(aCommand.data_centre());
   }
   return {};
@@ -261,7 +261,7 @@
   for (const auto& [address, entry] : mEntries) {
     *state.add_entries() = entry;
   }
-  for (const std::string& dataCentre : mEvacuated) {
+  for (const std::string& dataCentre : mEvacuatedDataCentres) {
     state.add_evacuated(dataCentre);
   }
   for (const auto& [address, control] : mControls) {
@@ -290,7 +290,8 @@
   for (const wire::EntryMember& entry : aState.entries()) {
     mEntries[entry.address()] = entry;
   }
-  mEvacuated.insert(aState.evacuated().begin(), aState.evacuated().end());
+  mEvacuatedDataCentres.insert(aState.evacuated().begin(),
+                               aState.evacuated().end());
   for (const wire::ControlMember& control : aState.controls()) {
     mControls[control.address()] = control;
   }
--- a/src/librattandyke/gateway/state.h
+++ b/src/librattandyke/gateway/state.h
@@ -10,7 +10,7 @@
 #include <rattandyke/result.h>
 #include <rattandyke/types.h>
 
-#include "gateway/items.h"
+#include "gateway/item_table.h"
 #include "gateway/range_table.h"
 #include "wire/gateway.pb.h"
 
@@ -51,10 +51,13 @@
   /// centre.
   bool IsEvacuated(const std::string& aDataCentre) const
   {
-    return mEvacuated.contains(aDataCentre);
+    return mEvacuatedDataCentres.contains(aDataCentre);
   }
 
-  const std::set<std::string>& Evacuated() const { return mEvacuated; }
+  const std::set<std::string>& EvacuatedDataCentres() const
+  {
+    return mEvacuatedDataCentres;
+  }
 
   /// @return the owners of a service's keys, or nullptr before the first grant.
   const RangeTable* Ranges(const std::string& aService) const;
@@ -68,7 +71,7 @@
   }
 
   /// @return the control hosts that have told where they are, by address.
-  const std::map<std::string, wire::ControlMember>& Controls() const
+  const std::map<std::string, wire::ControlMember>& ControlHosts() const
   {
     return mControls;
   }
@@ -104,7 +107,7 @@
   std::map<std::string, RangeTable> mRanges;
   std::map<std::string, wire::EntryMember> mEntries;
   std::map<std::string, wire::ControlMember> mControls;
-  std::set<std::string> mEvacuated;
+  std::set<std::string> mEvacuatedDataCentres;
 };
 
 } // namespace rattandyke::gateway
--- a/src/librattandyke/gateway/exchange.cpp
+++ b/src/librattandyke/gateway/upstream_client.cpp
@@ -1,4 +1,4 @@
-#include "gateway/exchange.h"
+#include "gateway/upstream_client.h"
 
 #include <algorithm>
 #include <array>
@@ -75,7 +75,7 @@
 }
 
 Duration
-KeptFor(const IncomingAnswer& aAnswer)
+KeptFor(const UpstreamResponse& aAnswer)
 {
   const std::string_view field = http::FieldOf(aAnswer.fields, "Keep-Alive");
   constexpr std::string_view kName = "timeout=";
@@ -89,10 +89,10 @@
   return std::chrono::seconds{ seconds } - Duration(kKeptMargin);
 }
 
-ExchangeResult
-Ended(ExchangeResult::Kind aKind, std::string aReason)
+AttemptResult
+Ended(AttemptResult::Kind aKind, std::string aReason)
 {
-  ExchangeResult result;
+  AttemptResult result;
   result.kind = aKind;
   result.reason = std::move(aReason);
   return result;
@@ -100,7 +100,7 @@
 
 asio::awaitable<void>
 WriteRest(std::shared_ptr<UpstreamConnection> aConnection,
-          std::shared_ptr<const OutgoingRequest> aRequest,
+          std::shared_ptr<const UpstreamRequest> aRequest,
           std::shared_ptr<bool> aDone)
 {
   auto [error, bytes] = co_await asio::async_write(
@@ -111,7 +111,7 @@
 } // namespace
 
 ConnectionPool::Kept&
-ConnectionPool::KeptOf(const UpstreamPeer& aPeer)
+ConnectionPool::KeptOf(const UpstreamProcess& aPeer)
 {
   Kept& kept = mIdle[aPeer.instance];
   if (kept.peer != aPeer) {
@@ -125,7 +125,7 @@
 }
 
 std::shared_ptr<UpstreamConnection>
-ConnectionPool::Take(const UpstreamPeer& aPeer, Instant aNow)
+ConnectionPool::Take(const UpstreamProcess& aPeer, Instant aNow)
 {
   auto& idle = KeptOf(aPeer).idle;
   while (!idle.empty()) {
@@ -140,7 +140,7 @@
 }
 
 void
-ConnectionPool::Put(const UpstreamPeer& aPeer,
+ConnectionPool::Put(const UpstreamProcess& aPeer,
                     std::shared_ptr<UpstreamConnection> aConnection)
 {
   const auto kept = mIdle.find(aPeer.instance);
@@ -152,7 +152,7 @@
 }
 
 void
-ExchangeHandle::Abort(std::string aReason)
+AttemptHandle::Abort(std::string aReason)
 {
   if (mAborted) {
     return;
@@ -165,7 +165,7 @@
 }
 
 void
-ExchangeHandle::Attach(std::shared_ptr<UpstreamConnection> aConnection)
+AttemptHandle::Attach(std::shared_ptr<UpstreamConnection> aConnection)
 {
   mConnection = std::move(aConnection);
   if (mAborted) {
@@ -173,9 +173,9 @@
   }
 }
 
-Exchanger::Exchanger(asio::any_io_executor aExecutor,
-                     const HeaderNames& aHeaders,
-                     const Clock& aClock)
+UpstreamClient::UpstreamClient(asio::any_io_executor aExecutor,
+                               const HeaderNames& aHeaders,
+                               const Clock& aClock)
   : mExecutor(std::move(aExecutor))
   , mHeaders(aHeaders)
   , mClock(aClock)
@@ -183,8 +183,8 @@
 }
 
 asio::awaitable<std::shared_ptr<UpstreamConnection>>
-Exchanger::Connect(std::string aAddress,
-                   std::shared_ptr<ExchangeHandle> aHandle)
+UpstreamClient::Connect(std::string aAddress,
+                        std::shared_ptr<AttemptHandle> aHandle)
 {
   const Result<Endpoint> address = ParseEndpoint(aAddress);
   if (!address) {
@@ -217,9 +217,9 @@
 }
 
 std::string
-Exchanger::HeadOf(const std::string& aInstance,
-                  const OutgoingRequest& aRequest,
-                  Duration aLeft) const
+UpstreamClient::HeadOf(const std::string& aInstance,
+                       const UpstreamRequest& aRequest,
+                       Duration aLeft) const
 {
   const auto left = std::chrono::duration_cast<milliseconds>(aLeft).count();
   std::string head;
@@ -239,11 +239,11 @@
   return head;
 }
 
-asio::awaitable<ExchangeResult>
-Exchanger::Run(UpstreamPeer aPeer,
-               std::shared_ptr<const OutgoingRequest> aRequest,
-               Duration aLeft,
-               std::shared_ptr<ExchangeHandle> aHandle)
+asio::awaitable<AttemptResult>
+UpstreamClient::Run(UpstreamProcess aPeer,
+                    std::shared_ptr<const UpstreamRequest> aRequest,
+                    Duration aLeft,
+                    std::shared_ptr<AttemptHandle> aHandle)
 {
   const Instant started = mClock.Now();
   std::shared_ptr<UpstreamConnection> connection = mPool.Take(aPeer, started);
@@ -253,7 +253,7 @@
     connection = co_await Connect(aPeer.address, aHandle);
     if (!connection || aHandle->Aborted()) {
       aHandle->Detach();
-      co_return Ended(ExchangeResult::Kind::NotSent,
+      co_return Ended(AttemptResult::Kind::NotSent,
                       aHandle->Aborted() ? aHandle->Reason()
                                          : "can't be reached");
     }
@@ -263,7 +263,7 @@
   if (left < Duration(kLeastTold)) {
     aHandle->Detach();
     KeepOrClose(aPeer, connection);
-    co_return Ended(ExchangeResult::Kind::NotSent, "no time is left");
+    co_return Ended(AttemptResult::Kind::NotSent, "no time is left");
   }
   std::string head = HeadOf(aPeer.instance, *aRequest, left);
   const bool ahead = aRequest->body.size() <= kWrittenAhead;
@@ -275,7 +275,7 @@
   if (writeError) {
     aHandle->Detach();
     connection->Close();
-    co_return Ended(ExchangeResult::Kind::Unknown,
+    co_return Ended(AttemptResult::Kind::Unknown,
                     "writing failed: " + writeError.message());
   }
   auto wholeBody = std::make_shared<bool>(ahead);
@@ -283,16 +283,16 @@
     asio::co_spawn(
       mExecutor, WriteRest(connection, aRequest, wholeBody), asio::detached);
   }
-  ExchangeResult result =
+  AttemptResult result =
     co_await ReadAnswer(connection, aRequest, aPeer.instance, ahead);
   aHandle->Detach();
   result.took = mClock.Now() - sentAt;
-  if (aHandle->Aborted() && result.kind == ExchangeResult::Kind::Unknown) {
+  if (aHandle->Aborted() && result.kind == AttemptResult::Kind::Unknown) {
     result.reason = aHandle->Reason();
     result.silent = true;
   }
-  const bool reusable = result.kind == ExchangeResult::Kind::Answer ||
-                        result.kind == ExchangeResult::Kind::NotRun;
+  const bool reusable = result.kind == AttemptResult::Kind::Answer ||
+                        result.kind == AttemptResult::Kind::NotRun;
   if (reusable && *wholeBody && !aHandle->Aborted()) {
     KeepOrClose(aPeer, connection);
   } else {
@@ -302,8 +302,9 @@
 }
 
 void
-Exchanger::KeepOrClose(const UpstreamPeer& aPeer,
-                       const std::shared_ptr<UpstreamConnection>& aConnection)
+UpstreamClient::KeepOrClose(
+  const UpstreamProcess& aPeer,
+  const std::shared_ptr<UpstreamConnection>& aConnection)
 {
   if (aConnection->buffer.size() == 0 &&
       aConnection->goodUntil > mClock.Now()) {
@@ -316,11 +317,11 @@
   }
 }
 
-asio::awaitable<ExchangeResult>
-Exchanger::ReadAnswer(std::shared_ptr<UpstreamConnection> aConnection,
-                      std::shared_ptr<const OutgoingRequest> aRequest,
-                      std::string aInstance,
-                      bool aWritten)
+asio::awaitable<AttemptResult>
+UpstreamClient::ReadAnswer(std::shared_ptr<UpstreamConnection> aConnection,
+                           std::shared_ptr<const UpstreamRequest> aRequest,
+                           std::string aInstance,
+                           bool aWritten)
 {
   for (int skipped = 0; skipped <= kMaxForeignAnswers; ++skipped) {
     Parser parser;
@@ -329,11 +330,11 @@
     auto [error, bytes] = co_await beast::http::async_read(
       aConnection->socket, aConnection->buffer, parser, kAwait);
     if (error) {
-      co_return Ended(ExchangeResult::Kind::Unknown,
+      co_return Ended(AttemptResult::Kind::Unknown,
                       "no whole answer: " + error.message());
     }
     auto& message = parser.get();
-    IncomingAnswer answer;
+    UpstreamResponse answer;
     answer.status = message.result_int();
     const bool kept = message.keep_alive() && !parser.need_eof();
     answer.body = std::move(message.body());
@@ -345,7 +346,7 @@
       // Safeguard: an upstream may send an answer twice, late. Taken for ours,
       // a caller would get what belongs to another.
       if (!kept) {
-        co_return Ended(ExchangeResult::Kind::Unknown,
+        co_return Ended(AttemptResult::Kind::Unknown,
                         "the answer belongs to another request");
       }
       continue;
@@ -355,12 +356,12 @@
     }
     co_return Judge(std::move(answer));
   }
-  co_return Ended(ExchangeResult::Kind::Unknown,
+  co_return Ended(AttemptResult::Kind::Unknown,
                   "too many answers to other requests");
 }
 
-ExchangeResult
-Exchanger::Judge(IncomingAnswer aAnswer) const
+AttemptResult
+UpstreamClient::Judge(UpstreamResponse aAnswer) const
 {
   const bool success =
     aAnswer.status >= kFirstSuccess && aAnswer.status < kFirstRedirect;
@@ -369,8 +370,8 @@
   };
   if (!success &&
       (aAnswer.status == kMisdirected || has(mHeaders.notExecuted))) {
-    ExchangeResult result =
-      Ended(ExchangeResult::Kind::NotRun,
+    AttemptResult result =
+      Ended(AttemptResult::Kind::NotRun,
             "refused with " + std::to_string(aAnswer.status));
     result.answer = std::move(aAnswer);
     return result;
@@ -378,7 +379,7 @@
   // Safeguard: these statuses promise a caller that its request has not run.
   // Without the proof the upstream promises nothing, and neither may this host.
   if (IsPromise(aAnswer.status)) {
-    return Ended(ExchangeResult::Kind::Unknown,
+    return Ended(AttemptResult::Kind::Unknown,
                  "refused with " + std::to_string(aAnswer.status) +
                    " and without proof");
   }
@@ -386,11 +387,11 @@
   // signature and the request's id show that it is one.
   if (!has(mHeaders.signature) || !has(mHeaders.requestId) ||
       has("Content-Encoding")) {
-    return Ended(ExchangeResult::Kind::Unknown,
+    return Ended(AttemptResult::Kind::Unknown,
                  "the answer " + std::to_string(aAnswer.status) +
                    " is not the upstream's own");
   }
-  ExchangeResult result = Ended(ExchangeResult::Kind::Answer, "");
+  AttemptResult result = Ended(AttemptResult::Kind::Answer, "");
   result.answer = std::move(aAnswer);
   return result;
 }
