--- a/src/librattandyke/gateway/exchange.h
+++ b/src/librattandyke/gateway/upstream_client.h
@@ -40,13 +40,13 @@
 };
 
 /// A process to which a request is sent.
-struct UpstreamPeer
+struct UpstreamProcess
 {
   std::string instance;
   std::string address;
   /// Tells apart processes that start again under one instance's id.
   uint64_t life = 0;
-  bool operator==(const UpstreamPeer&) const = default;
+  bool operator==(const UpstreamProcess&) const = default;
 };
 
 /// Idle connections to upstreams, by instance. Not thread-safe.
@@ -58,10 +58,10 @@
 {
 public:
   /// @return an idle connection that is still good, or nullptr.
-  std::shared_ptr<UpstreamConnection> Take(const UpstreamPeer& aPeer,
+  std::shared_ptr<UpstreamConnection> Take(const UpstreamProcess& aPeer,
                                            Instant aNow);
 
-  void Put(const UpstreamPeer& aPeer,
+  void Put(const UpstreamProcess& aPeer,
            std::shared_ptr<UpstreamConnection> aConnection);
 
   /// Closes what has been idle too long, and connections to instances that are
@@ -82,19 +82,19 @@
 private:
   struct Kept
   {
-    UpstreamPeer peer;
+    UpstreamProcess peer;
     /// Oldest first; the newest is taken first, so that the others time out.
     std::deque<std::shared_ptr<UpstreamConnection>> idle;
   };
 
   /// @return the connections to a process, without those to earlier ones.
-  Kept& KeptOf(const UpstreamPeer& aPeer);
+  Kept& KeptOf(const UpstreamProcess& aPeer);
 
   std::map<std::string, Kept> mIdle;
 };
 
 /// What is sent.
-struct OutgoingRequest
+struct UpstreamRequest
 {
   std::string method;
   std::string target;
@@ -107,7 +107,7 @@
 };
 
 /// An upstream's whole answer.
-struct IncomingAnswer
+struct UpstreamResponse
 {
   unsigned status = 0;
   boost::beast::http::fields fields;
@@ -115,7 +115,7 @@
 };
 
 /// How a try ended, by what is known of the request.
-struct ExchangeResult
+struct AttemptResult
 {
   enum class Kind
   {
@@ -129,7 +129,7 @@
     Unknown,
   };
   Kind kind = Kind::NotSent;
-  IncomingAnswer answer;
+  UpstreamResponse answer;
   /// Why, for the log.
   std::string reason;
   /// The upstream kept silent until the try was cut off.
@@ -140,7 +140,7 @@
 
 /// The try can be cut off from outside: its connection is then closed, which
 /// ends the upstream's work.
-class ExchangeHandle
+class AttemptHandle
 {
 public:
   /// @param aReason appears in the result.
@@ -160,20 +160,20 @@
 };
 
 /// Makes tries over kept connections.
-class Exchanger
+class UpstreamClient
 {
 public:
   /// @param aClock and @param aHeaders outlive this object.
-  Exchanger(boost::asio::any_io_executor aExecutor,
-            const HeaderNames& aHeaders,
-            const Clock& aClock);
+  UpstreamClient(boost::asio::any_io_executor aExecutor,
+                 const HeaderNames& aHeaders,
+                 const Clock& aClock);
 
   /// @param aLeft time that the upstream is given.
-  boost::asio::awaitable<ExchangeResult> Run(
-    UpstreamPeer aPeer,
-    std::shared_ptr<const OutgoingRequest> aRequest,
+  boost::asio::awaitable<AttemptResult> Run(
+    UpstreamProcess aPeer,
+    std::shared_ptr<const UpstreamRequest> aRequest,
     Duration aLeft,
-    std::shared_ptr<ExchangeHandle> aHandle);
+    std::shared_ptr<AttemptHandle> aHandle);
 
   ConnectionPool& Pool() { return mPool; }
 
@@ -183,19 +183,19 @@
 private:
   boost::asio::awaitable<std::shared_ptr<UpstreamConnection>> Connect(
     std::string aAddress,
-    std::shared_ptr<ExchangeHandle> aHandle);
+    std::shared_ptr<AttemptHandle> aHandle);
   std::string HeadOf(const std::string& aInstance,
-                     const OutgoingRequest& aRequest,
+                     const UpstreamRequest& aRequest,
                      Duration aLeft) const;
-  boost::asio::awaitable<ExchangeResult> ReadAnswer(
+  boost::asio::awaitable<AttemptResult> ReadAnswer(
     std::shared_ptr<UpstreamConnection> aConnection,
-    std::shared_ptr<const OutgoingRequest> aRequest,
+    std::shared_ptr<const UpstreamRequest> aRequest,
     std::string aInstance,
     bool aWritten);
   /// Keeps a connection on which nothing is under way, if it may be used again.
-  void KeepOrClose(const UpstreamPeer& aPeer,
+  void KeepOrClose(const UpstreamProcess& aPeer,
                    const std::shared_ptr<UpstreamConnection>& aConnection);
-  ExchangeResult Judge(IncomingAnswer aAnswer) const;
+  AttemptResult Judge(UpstreamResponse aAnswer) const;
 
   const boost::asio::any_io_executor mExecutor;
   const HeaderNames& mHeaders;
--- a/src/librattandyke/gateway/exchange_test.cpp
+++ b/src/librattandyke/gateway/upstream_client_test.cpp
@@ -1,4 +1,4 @@
-#include "gateway/exchange.h"
+#include "gateway/upstream_client.h"
 
 #include <thread>
 
@@ -98,8 +98,8 @@
 {
 protected:
   /// Sends requests "r-1", "r-2", ... one after the other.
-  std::vector<ExchangeResult> Send(std::vector<std::string> aTexts,
-                                   size_t aCount = 1)
+  std::vector<AttemptResult> Send(std::vector<std::string> aTexts,
+                                  size_t aCount = 1)
   {
     upstream = std::make_unique<ScriptedUpstream>(context, std::move(aTexts));
     asio::co_spawn(context, SendAll(aCount), asio::detached);
@@ -110,26 +110,26 @@
   asio::awaitable<void> SendAll(size_t aCount)
   {
     for (size_t number = 1; number <= aCount; ++number) {
-      auto request = std::make_shared<OutgoingRequest>();
+      auto request = std::make_shared<UpstreamRequest>();
       request->method = "GET";
       request->target = "/x";
       request->requestId = "r-" + std::to_string(number);
-      const UpstreamPeer peer{ "i-1", upstream->Address() };
+      const UpstreamProcess peer{ "i-1", upstream->Address() };
       results.push_back(co_await exchanger.Run(
-        peer, request, left, std::make_shared<ExchangeHandle>()));
+        peer, request, left, std::make_shared<AttemptHandle>()));
     }
     context.stop();
   }
 
   SystemClock clock;
   asio::io_context context;
-  Exchanger exchanger{ context.get_executor(), kNames, clock };
+  UpstreamClient exchanger{ context.get_executor(), kNames, clock };
   Duration left = std::chrono::seconds{ 1 };
   std::unique_ptr<ScriptedUpstream> upstream;
-  std::vector<ExchangeResult> results;
+  std::vector<AttemptResult> results;
 };
 
-using Kind = ExchangeResult::Kind;
+using Kind = AttemptResult::Kind;
 
 TEST_F(ExchangerTest, NamesTheInstanceAndTheTimeLeft)
 {
@@ -293,18 +293,18 @@
   tcp::acceptor closed(context, { asio::ip::make_address("127.0.0.1"), 0 });
   const auto port = closed.local_endpoint().port();
   closed.close();
-  ExchangeResult result;
-  auto request = std::make_shared<OutgoingRequest>();
+  AttemptResult result;
+  auto request = std::make_shared<UpstreamRequest>();
   request->method = "GET";
   request->target = "/x";
   request->requestId = "r-1";
   asio::co_spawn(
     context,
-    exchanger.Run(UpstreamPeer{ "i-1", "127.0.0.1:" + std::to_string(port) },
+    exchanger.Run(UpstreamProcess{ "i-1", "127.0.0.1:" + std::to_string(port) },
                   request,
                   std::chrono::seconds{ 1 },
-                  std::make_shared<ExchangeHandle>()),
-    [&](const std::exception_ptr&, ExchangeResult aResult) {
+                  std::make_shared<AttemptHandle>()),
+    [&](const std::exception_ptr&, AttemptResult aResult) {
       result = std::move(aResult);
     });
   context.run();
@@ -343,8 +343,8 @@
     connection->goodUntil = now + std::chrono::seconds{ 9 };
     return connection;
   };
-  const UpstreamPeer earlier{ "i-1", "10.0.0.1:80", 100 };
-  const UpstreamPeer later{ "i-1", "10.0.0.1:80", 200 };
+  const UpstreamProcess earlier{ "i-1", "10.0.0.1:80", 100 };
+  const UpstreamProcess later{ "i-1", "10.0.0.1:80", 200 };
   pool.Put(earlier, connect());
   EXPECT_NE(pool.Take(earlier, now), nullptr);
   pool.Put(earlier, connect());
--- a/src/librattandyke/gateway/upstream_set.cpp
+++ b/src/librattandyke/gateway/upstream_set.cpp
@@ -376,7 +376,7 @@
 }
 
 uint64_t
-UpstreamSet::LifeOf(const std::string& aInstance) const
+UpstreamSet::IncarnationOf(const std::string& aInstance) const
 {
   const auto found = mUpstreams.find(aInstance);
   return found == mUpstreams.end() ? 0 : found->second.life;
@@ -410,7 +410,7 @@
     room = avoided;
   }
   if (room.empty()) {
-    return known ? Hindrance::Full : Hindrance::NoInstance;
+    return known ? UnavailableReason::Full : UnavailableReason::NoInstance;
   }
   const Item* best = room[mRandom() % room.size()];
   for (const Item* other : room) {
@@ -426,11 +426,11 @@
 {
   const auto found = mUpstreams.find(aInstance);
   if (found == mUpstreams.end() || found->second.gone) {
-    return Hindrance::NoInstance;
+    return UnavailableReason::NoInstance;
   }
   Upstream& upstream = found->second;
   if (upstream.evacuatedSince && !IsUsable(upstream, aNow)) {
-    return Hindrance::NoOwner;
+    return UnavailableReason::NoOwner;
   }
   // Safeguard: the owner of a key has crashed or is cut off, and its keys have
   // no other owner until its hold is over. Each request for them would wait at
@@ -438,12 +438,12 @@
   // at once.
   if (upstream.failures >= kDeadAfter) {
     if (aNow < upstream.tryAgainAt) {
-      return Hindrance::Failing;
+      return UnavailableReason::Failing;
     }
     upstream.tryAgainAt = aNow + Duration(kTryDeadEvery);
   }
   if (upstream.running >= RoomOf(upstream) || IsColdFull(upstream, aNow)) {
-    return Hindrance::Full;
+    return UnavailableReason::Full;
   }
   return Choice{ found->first, found->second.address };
 }
@@ -453,7 +453,7 @@
 {
   const auto found = mUpstreams.find(aInstance);
   if (found == mUpstreams.end() || found->second.gone) {
-    return Hindrance::NoInstance;
+    return UnavailableReason::NoInstance;
   }
   const Upstream& upstream = found->second;
   const uint32_t room = std::max(upstream.slots / kAlonePart, 1U);
@@ -463,7 +463,7 @@
     HasToldLately(upstream, aNow) && upstream.told->waiting >= kCrowded;
   if (crowded || upstream.running >= room || aNow < upstream.avoidUntil ||
       aNow < upstream.coldUntil) {
-    return Hindrance::Full;
+    return UnavailableReason::Full;
   }
   return Choice{ found->first, upstream.address };
 }
@@ -506,7 +506,7 @@
 
 void
 UpstreamSet::End(const std::string& aInstance,
-                 TryEnd aEnd,
+                 AttemptOutcome aEnd,
                  Duration aTook,
                  const Begun& aBegun,
                  Instant aNow)
@@ -520,8 +520,8 @@
   const double took = std::chrono::duration<double>(aTook).count();
   // A request that waited there first tells more of the load than of the
   // upstream.
-  const bool timed =
-    aEnd == TryEnd::Silent || (aEnd == TryEnd::Answered && !aBegun.queued);
+  const bool timed = aEnd == AttemptOutcome::TimedOut ||
+                     (aEnd == AttemptOutcome::Answered && !aBegun.queued);
   if (timed) {
     // The first ones count alike, or the very first would stand for ten.
     ++upstream.timed;
@@ -529,10 +529,10 @@
     upstream.seconds += weight * (took - upstream.seconds);
     mNewTimes.insert(aInstance);
   }
-  if (aEnd == TryEnd::Answered) {
+  if (aEnd == AttemptOutcome::Answered) {
     upstream.failures = 0;
     upstream.avoidUntil = {};
-  } else if (aEnd != TryEnd::Abandoned) {
+  } else if (aEnd != AttemptOutcome::Abandoned) {
     ++upstream.failures;
     const auto time = std::min<Duration>(
       kFirstAvoided * (1U << std::min(upstream.failures - 1, 8U)),
@@ -545,7 +545,7 @@
 }
 
 std::map<std::string, double>
-UpstreamSet::TakeNewTimes()
+UpstreamSet::TakeChangedResponseSeconds()
 {
   std::map<std::string, double> times;
   for (const std::string& id : std::exchange(mNewTimes, {})) {
--- a/src/librattandyke/gateway/upstream_set.h
+++ b/src/librattandyke/gateway/upstream_set.h
@@ -11,13 +11,13 @@
 #include <rattandyke/types.h>
 
 #include "base/clock.h"
+#include "gateway/load_report.h"
 #include "gateway/state.h"
-#include "gateway/told_load.h"
 
 namespace rattandyke::gateway {
 
 /// How a try at an upstream ended.
-enum class TryEnd
+enum class AttemptOutcome
 {
   /// An answer of its own.
   Answered,
@@ -28,7 +28,7 @@
   /// The connection broke, or what came was no answer.
   Broken,
   /// No answer in time.
-  Silent,
+  TimedOut,
   /// Given up for reasons that say nothing of the upstream.
   Abandoned,
 };
@@ -44,7 +44,7 @@
     std::string address;
   };
 
-  enum class Hindrance
+  enum class UnavailableReason
   {
     /// No instance of the service is known.
     NoInstance,
@@ -56,7 +56,7 @@
     Failing,
   };
 
-  using Outcome = std::variant<Choice, Hindrance>;
+  using Outcome = std::variant<Choice, UnavailableReason>;
 
   struct Options
   {
@@ -124,9 +124,9 @@
   Duration DirectWait(const std::string& aService, Instant aNow);
 
   /// An instance has told its load.
-  void NoteTold(const std::string& aInstance,
-                const ToldLoad& aLoad,
-                Instant aNow);
+  void RecordLoadReport(const std::string& aInstance,
+                        const LoadReport& aLoad,
+                        Instant aNow);
 
   /// @return whether instances of the service tell their load.
   bool TellsLoad(const std::string& aService, Instant aNow) const;
@@ -181,12 +181,12 @@
   bool HasInstances(const std::string& aService) const;
 
   /// @return the life of an instance's process; 0 if it is not known.
-  uint64_t LifeOf(const std::string& aInstance) const;
+  uint64_t IncarnationOf(const std::string& aInstance) const;
 
   /// Times of answers that changed since the last call, in seconds. Only these:
   /// many hosts have once sent an instance something, and what they remember of
   /// it would hide what those see that send it requests now.
-  std::map<std::string, double> TakeNewTimes();
+  std::map<std::string, double> TakeChangedResponseSeconds();
 
   /// What is known of a try when it begins.
   struct Begun
@@ -204,7 +204,7 @@
   /// @param aTook  time since it was sent.
   /// @param aBegun what Begin returned.
   void End(const std::string& aInstance,
-           TryEnd aEnd,
+           AttemptOutcome aEnd,
            Duration aTook,
            const Begun& aBegun,
            Instant aNow);
@@ -235,7 +235,7 @@
     /// When the newest tries began, oldest first: as many as a cold one may get
     /// in a second. Nearly all instances have none, which takes no memory here.
     std::vector<Instant> recent;
-    std::optional<ToldLoad> told;
+    std::optional<LoadReport> told;
     Instant toldAt{};
     /// Tries of this host that have begun since, and when the newest did.
     uint32_t begunSince = 0;
@@ -315,7 +315,7 @@
   std::map<std::string, Service> mServices;
   /// Instances that were told to be cold, since ForgetWarm.
   std::set<std::string> mColdLately;
-  /// Instances whose times changed since TakeNewTimes.
+  /// Instances whose times changed since TakeChangedResponseSeconds.
   std::set<std::string> mNewTimes;
 };
 
--- a/src/librattandyke/gateway/upstream_set_direct.cpp
+++ b/src/librattandyke/gateway/upstream_set_direct.cpp
@@ -100,7 +100,7 @@
   if (!HasToldLately(aUpstream, aNow)) {
     return std::max(own, kAssumedBusy * aUpstream.slots);
   }
-  const ToldLoad& told = *aUpstream.told;
+  const LoadReport& told = *aUpstream.told;
   return std::max(own,
                   told.running + told.waiting + 0.0 + aUpstream.begunSince);
 }
@@ -111,10 +111,10 @@
                       Instant aNow) const
 {
   const bool paced = aUpstream.told && aNow - aUpstream.toldAt < kPaceFor;
-  const double pace =
-    paced ? std::clamp(aUpstream.told->pace, kLeastPace, kMostPace) : 1.0;
+  const double slowdown =
+    paced ? std::clamp(aUpstream.told->slowdown, kLeastPace, kMostPace) : 1.0;
   const double seconds =
-    (aUpstream.seconds > 0 ? aUpstream.seconds : aUsual) * pace;
+    (aUpstream.seconds > 0 ? aUpstream.seconds : aUsual) * slowdown;
   const double waits =
     std::max(LoadOf(aUpstream, aNow) + 1 - aUpstream.slots, 0.0);
   const bool isFar = aUpstream.dataCentre != mOptions.dataCentre.value;
@@ -160,7 +160,8 @@
     }
   }
   if (best == nullptr) {
-    return subset.empty() ? Hindrance::NoInstance : Hindrance::Full;
+    return subset.empty() ? UnavailableReason::NoInstance
+                          : UnavailableReason::Full;
   }
   return Choice{ best->first, best->second.address };
 }
@@ -184,9 +185,9 @@
 }
 
 void
-UpstreamSet::NoteTold(const std::string& aInstance,
-                      const ToldLoad& aLoad,
-                      Instant aNow)
+UpstreamSet::RecordLoadReport(const std::string& aInstance,
+                              const LoadReport& aLoad,
+                              Instant aNow)
 {
   const auto found = mUpstreams.find(aInstance);
   if (found == mUpstreams.end()) {
--- a/src/librattandyke/gateway/upstream_set_test.cpp
+++ b/src/librattandyke/gateway/upstream_set_test.cpp
@@ -100,7 +100,7 @@
     const std::string id = IdOf(number);
     RC_ASSERT(followed.ServiceOf(id) == whole.ServiceOf(id));
     RC_ASSERT(followed.GroupOf(id) == whole.GroupOf(id));
-    RC_ASSERT(followed.LifeOf(id) == whole.LifeOf(id));
+    RC_ASSERT(followed.IncarnationOf(id) == whole.IncarnationOf(id));
     RC_ASSERT(followed.UsableAddress(id, now) == whole.UsableAddress(id, now));
   }
   for (const char* service : { "board", "desk" }) {
@@ -132,7 +132,8 @@
   const auto* choice = std::get_if<UpstreamSet::Choice>(&outcome);
   ASSERT_NE(choice, nullptr);
   EXPECT_EQ(choice->instance, "b");
-  set.End("a", TryEnd::Answered, std::chrono::milliseconds{ 50 }, begun, now);
+  set.End(
+    "a", AttemptOutcome::Answered, std::chrono::milliseconds{ 50 }, begun, now);
   EXPECT_EQ(set.ServiceOf("a"), "");
   EXPECT_TRUE(set.HasInstances("desk"));
 }
