--- a/src/librattandyke/gateway/entry_registry_test.cpp
+++ b/src/librattandyke/gateway/entry_registry_test.cpp
@@ -17,9 +17,9 @@
   return member;
 }
 
-// Guards against a slow log that is kept slow by the same commands again and
-// again: a thousand entries come while nothing is committed.
-TEST(EntryRegistry, CommandsAreNotRepeatedWhileTheLogIsSlow)
+// Guards against a slow log that repeated commands keep slow: a thousand entry
+// hosts subscribe while nothing is committed.
+TEST(EntryRegistry, CommandsAreNotRepeatedWhileLogIsSlow)
 {
   constexpr size_t kEntries = 1000;
   State state;
@@ -35,14 +35,14 @@
     now += kTick;
   }
   EXPECT_EQ(proposed, kEntries);
-  // They were lost: all are proposed once more.
+  // The commands are lost: all are proposed once more.
   for (size_t at = 0; at < kEntries; ++at) {
     registry.RecordReport(Member(at), now);
   }
   EXPECT_EQ(registry.Tick(state, now + kTick).size(), kEntries);
 }
 
-TEST(EntryRegistry, EntryThatComesBackIsListedAgain)
+TEST(EntryRegistry, ReturningEntryHostIsAddedAgain)
 {
   State state;
   EntryRegistry registry;
--- a/src/librattandyke/gateway/heartbeat_queue.cpp
+++ b/src/librattandyke/gateway/heartbeat_queue.cpp
@@ -5,28 +5,28 @@
 namespace rattandyke::gateway {
 
 bool
-HeartbeatQueue::Add(Pending aWaiting)
+HeartbeatQueue::Add(Pending aPending)
 {
-  if (mWaiting.size() >= kCapacity) {
+  if (mPending.size() >= kCapacity) {
     return false;
   }
-  mWaiting.push_back(std::move(aWaiting));
+  mPending.push_back(std::move(aPending));
   return true;
 }
 
 HeartbeatQueue::Batch
 HeartbeatQueue::TakeBatch(Instant aNow)
 {
-  Batch slice;
-  while (!mWaiting.empty() &&
-         slice.toProcess.size() + slice.toReject.size() < kBatchSize) {
-    Pending& first = mWaiting.front();
+  Batch batch;
+  while (!mPending.empty() &&
+         batch.toProcess.size() + batch.toReject.size() < kBatchSize) {
+    Pending& first = mPending.front();
     auto& to =
-      aNow - first.arrived < kMaxWait ? slice.toProcess : slice.toReject;
+      aNow - first.receivedAt < kMaxWait ? batch.toProcess : batch.toReject;
     to.push_back(std::move(first));
-    mWaiting.pop_front();
+    mPending.pop_front();
   }
-  return slice;
+  return batch;
 }
 
 } // namespace rattandyke::gateway
--- a/src/librattandyke/gateway/key_spans.cpp
+++ b/src/librattandyke/gateway/key_spans.cpp
@@ -23,12 +23,12 @@
 
 namespace {
 
-/// @return what is left of a span without another.
+/// @return the parts of a span that another span does not cover.
 std::vector<KeySpan>
-Subtract(KeySpan aSpan, KeySpan aTaken)
+Subtract(KeySpan aSpan, KeySpan aSubtracted)
 {
   std::vector<KeySpan> rest;
-  const auto common = Intersect(aSpan, aTaken);
+  const auto common = Intersect(aSpan, aSubtracted);
   if (!common) {
     return { aSpan };
   }
@@ -44,13 +44,13 @@
 } // namespace
 
 std::vector<KeySpan>
-Subtract(KeySpan aSpan, const std::vector<KeySpan>& aTaken)
+Subtract(KeySpan aSpan, const std::vector<KeySpan>& aSubtracted)
 {
   std::vector<KeySpan> rest{ aSpan };
-  for (const KeySpan& taken : aTaken) {
+  for (const KeySpan& subtracted : aSubtracted) {
     std::vector<KeySpan> next;
     for (const KeySpan& part : rest) {
-      const auto parts = Subtract(part, taken);
+      const auto parts = Subtract(part, subtracted);
       next.insert(next.end(), parts.begin(), parts.end());
     }
     rest = std::move(next);
--- a/src/librattandyke/gateway/owner_index.h
+++ b/src/librattandyke/gateway/owner_index.h
@@ -1,4 +1,4 @@
-/// Finds the segments of a key table by their holder.
+/// Index of the segments of a key range table by owner.
 #pragma once
 
 #include <cstdint>
@@ -12,47 +12,51 @@
 
 namespace rattandyke::gateway {
 
-/// Names the segments of a RangeTable by their first keys: those of each
-/// holder, those that are free, and those that are about to be released.
-/// Follows the table by its changes, so that a lookup costs what it finds and
-/// not a pass over the segments of thousands of holders. Not thread-safe.
-class HolderIndex
+/// Index of the segments of a RangeTable: those of each owner, the free ones,
+/// and the revoked ones, each identified by its first key. It is updated from
+/// the table's list of recent changes, so the cost of an update depends on the
+/// number of changes and not on the number of owners, of which there may be
+/// thousands. Not thread-safe.
+class OwnerIndex
 {
 public:
   using FirstKeys = std::set<uint32_t>;
 
-  /// Takes over what has changed since the last call.
+  /// Applies the changes of the table since the last call.
   /// @param aRanges the same table in each call.
-  void Follow(const RangeTable& aRanges);
+  void Update(const RangeTable& aRanges);
 
-  /// @return the segments of a holder.
-  const FirstKeys& HeldBy(const std::string& aHolder) const;
+  /// @return the first keys of an owner's segments.
+  const FirstKeys& OwnedBy(const std::string& aOwner) const;
 
+  /// @return the first keys of the segments without an owner.
   const FirstKeys& Free() const { return mFree; }
 
-  const FirstKeys& HeldBack() const { return mHeldBack; }
+  /// @return the first keys of the segments that are marked as revoked.
+  const FirstKeys& Revoked() const { return mRevoked; }
 
-  /// @return how many segments have been read from tables so far.
+  /// @return the number of segments read from the table so far: a measure of
+  /// the cost of updates.
   uint64_t SegmentsRead() const { return mSegmentsRead; }
 
 private:
-  struct Known
+  struct Segment
   {
     uint32_t to = 0;
-    std::string holder;
-    bool heldBack = false;
+    std::string owner;
+    bool revoked = false;
   };
-  using Segments = std::map<uint32_t, Known>;
+  using Segments = std::map<uint32_t, Segment>;
 
-  void Read(const RangeTable& aRanges, KeySpan aKeys);
+  void Reread(const RangeTable& aRanges, KeySpan aKeys);
   void Add(const wire::RangeSegment& aSegment);
   Segments::iterator Remove(Segments::iterator aAt);
 
   std::optional<uint64_t> mVersion;
   Segments mSegments;
-  std::unordered_map<std::string, FirstKeys> mHeldBy;
+  std::unordered_map<std::string, FirstKeys> mOwnedBy;
   FirstKeys mFree;
-  FirstKeys mHeldBack;
+  FirstKeys mRevoked;
   uint64_t mSegmentsRead = 0;
 };
 
--- a/src/librattandyke/gateway/owner_index_test.cpp
+++ b/src/librattandyke/gateway/owner_index_test.cpp
@@ -8,36 +8,36 @@
 namespace rattandyke::gateway {
 namespace {
 
-/// Compares an index with a pass over all segments.
+/// Compares an index with a pass over all segments of the table.
 void
-ExpectLike(const HolderIndex& aIndex, const RangeTable& aRanges)
+ExpectMatchesTable(const OwnerIndex& aIndex, const RangeTable& aRanges)
 {
-  HolderIndex::FirstKeys free;
-  HolderIndex::FirstKeys heldBack;
-  std::map<std::string, HolderIndex::FirstKeys> held;
+  OwnerIndex::FirstKeys free;
+  OwnerIndex::FirstKeys revoked;
+  std::map<std::string, OwnerIndex::FirstKeys> owned;
   for (const wire::RangeSegment& segment : aRanges.Segments()) {
     if (segment.holder().empty()) {
       free.insert(segment.from());
     } else {
-      held[segment.holder()].insert(segment.from());
+      owned[segment.holder()].insert(segment.from());
     }
     if (segment.held_back()) {
-      heldBack.insert(segment.from());
+      revoked.insert(segment.from());
     }
   }
   RC_ASSERT(aIndex.Free() == free);
-  RC_ASSERT(aIndex.HeldBack() == heldBack);
-  for (const std::string holder : { "a", "b", "c" }) {
-    RC_ASSERT(aIndex.HeldBy(holder) == held[holder]);
+  RC_ASSERT(aIndex.Revoked() == revoked);
+  for (const std::string owner : { "a", "b", "c" }) {
+    RC_ASSERT(aIndex.OwnedBy(owner) == owned[owner]);
   }
 }
 
 template<typename Command>
 Command
-OfKeys(const std::string& aHolder, KeySpan aKeys)
+CommandFor(const std::string& aOwner, KeySpan aKeys)
 {
   Command command;
-  command.set_holder(aHolder);
+  command.set_holder(aOwner);
   wire::KeyRange* range = command.add_ranges();
   range->set_from(aKeys.from);
   range->set_to(aKeys.to);
@@ -47,76 +47,77 @@
 void
 ChangeAtRandom(RangeTable& aRanges, uint64_t aFence)
 {
-  const auto holder = *rc::gen::element<std::string>("a", "b", "c");
+  const auto owner = *rc::gen::element<std::string>("a", "b", "c");
   const auto from = *rc::gen::inRange<uint32_t>(0, 64);
   const auto to = *rc::gen::inRange<uint32_t>(from, 64);
   switch (*rc::gen::inRange(0, 4)) {
     case 0:
-      static_cast<void>(
-        aRanges.Grant(OfKeys<wire::GrantRanges>(holder, { from, to }), aFence));
+      static_cast<void>(aRanges.Grant(
+        CommandFor<wire::GrantRanges>(owner, { from, to }), aFence));
       return;
     case 1:
-      aRanges.Revoke(OfKeys<wire::HoldBackRanges>(holder, { from, to }));
+      aRanges.Revoke(CommandFor<wire::HoldBackRanges>(owner, { from, to }));
       return;
     case 2:
-      aRanges.Free(OfKeys<wire::FreeRanges>(holder, { from, to }));
+      aRanges.Free(CommandFor<wire::FreeRanges>(owner, { from, to }));
       return;
     default:
-      aRanges.FreeAllOf(holder);
+      aRanges.FreeAllOf(owner);
   }
 }
 
-// Guards against an index that misses a change, so that an upstream's keys are
-// not renewed or a free key is granted to nobody.
-RC_GTEST_PROP(HolderIndex, FollowsAnyChanges, ())
+// Guards against an index that misses a change: an upstream's keys would not be
+// renewed, or a free key would never be granted.
+RC_GTEST_PROP(OwnerIndex, MatchesTableAfterAnyChanges, ())
 {
   RangeTable ranges;
-  HolderIndex index;
+  OwnerIndex index;
   const auto changes = *rc::gen::inRange(1, 40);
   for (int change = 1; change <= changes; ++change) {
     ChangeAtRandom(ranges, static_cast<uint64_t>(change));
     if (*rc::gen::inRange(0, 3) == 0) {
-      index.Follow(ranges);
-      ExpectLike(index, ranges);
+      index.Update(ranges);
+      ExpectMatchesTable(index, ranges);
     }
   }
-  index.Follow(ranges);
-  ExpectLike(index, ranges);
+  index.Update(ranges);
+  ExpectMatchesTable(index, ranges);
 }
 
-// Guards against a cost of each change that grows with the number of holders.
-TEST(HolderIndex, ReadsOnlyWhatHasChanged)
+// Guards against an update cost that grows with the number of owners.
+TEST(OwnerIndex, UpdateReadsOnlyChangedSegments)
 {
-  for (const uint32_t holders : { 100U, 1000U, 10000U }) {
+  for (const uint32_t owners : { 100U, 1000U, 10000U }) {
     RangeTable ranges;
-    HolderIndex index;
+    OwnerIndex index;
     uint64_t fence = 0;
-    const uint32_t width = kKeyCount / holders;
-    for (uint32_t at = 0; at < holders; ++at) {
+    const uint32_t width = kKeyCount / owners;
+    for (uint32_t at = 0; at < owners; ++at) {
       const KeySpan keys{ at * width, (at + 1) * width - 1 };
       ASSERT_TRUE(ranges.Grant(
-        OfKeys<wire::GrantRanges>(std::to_string(at), keys), ++fence));
-      index.Follow(ranges);
+        CommandFor<wire::GrantRanges>(std::to_string(at), keys), ++fence));
+      index.Update(ranges);
     }
-    EXPECT_LE(index.SegmentsRead(), 4 * holders);
-    EXPECT_EQ(index.HeldBy("7").size(), 1U);
+    EXPECT_LE(index.SegmentsRead(), 4 * owners);
+    EXPECT_EQ(index.OwnedBy("7").size(), 1U);
   }
 }
 
-// Guards against a follower that is further behind than the table remembers.
-TEST(HolderIndex, ReadsAllOnceChangesAreForgotten)
+// Guards against an incomplete update when the table has dropped some of the
+// changes since the last one.
+TEST(OwnerIndex, UpdateReadsWholeTableIfChangesAreDropped)
 {
   RangeTable ranges;
-  HolderIndex index;
-  index.Follow(ranges);
+  OwnerIndex index;
+  index.Update(ranges);
   for (uint32_t at = 0; at < 1000; ++at) {
     ASSERT_TRUE(ranges.Grant(
-      OfKeys<wire::GrantRanges>(std::to_string(at), { at, at }), at + 1));
+      CommandFor<wire::GrantRanges>(std::to_string(at), { at, at }), at + 1));
   }
-  index.Follow(ranges);
-  EXPECT_EQ(index.HeldBy("0"), HolderIndex::FirstKeys{ 0 });
-  EXPECT_EQ(index.HeldBy("999"), HolderIndex::FirstKeys{ 999 });
-  EXPECT_EQ(index.Free(), HolderIndex::FirstKeys{ 1000 });
+  index.Update(ranges);
+  EXPECT_EQ(index.OwnedBy("0"), OwnerIndex::FirstKeys{ 0 });
+  EXPECT_EQ(index.OwnedBy("999"), OwnerIndex::FirstKeys{ 999 });
+  EXPECT_EQ(index.Free(), OwnerIndex::FirstKeys{ 1000 });
 }
 
 } // namespace
--- a/src/librattandyke/gateway/range_assigner.cpp
+++ b/src/librattandyke/gateway/range_assigner.cpp
@@ -12,17 +12,20 @@
 
 using std::chrono::milliseconds;
 
-/// An instance's clock may run 2% slow, so that its hold lasts 1/0.98 of the
-/// time it was told; the rest covers the granularity of timers.
-constexpr double kDrift = 1.03;
+/// The leader lets a lease end after this multiple of its duration, plus a
+/// constant. An instance's clock may run 2% slow, so that its lease lasts
+/// 1/0.98 of the duration; the rest of the margin covers the granularity of
+/// timers.
+constexpr double kLeaseMargin = 1.03;
 constexpr Duration kTimerSlack = milliseconds{ 50 };
 
-/// Times in a tick that a service is summed up for one that comes back.
-constexpr uint32_t kSumsAgain = 4;
+/// Maximum number of recomputations of a service's owner loads in one tick
+/// that returning instances may force.
+constexpr uint32_t kMaxForcedUpdates = 4;
 
-/// Time by which two reports of the end of one cold spell may differ, as they
-/// take differently long to arrive.
-constexpr Duration kColdSlack = milliseconds{ 300 };
+/// Tolerance between two reports of the end of one cold phase. Heartbeats
+/// differ in their network delay.
+constexpr Duration kColdReportTolerance = milliseconds{ 300 };
 
 } // namespace
 
@@ -42,80 +45,83 @@
 void
 RangeAssigner::OnElected(const State& aState, Instant aNow)
 {
-  mLeases.clear();
-  mWatched.clear();
-  mAtAddress.clear();
-  mGroups.clear();
-  mLivesTold = false;
-  const Instant longest =
-    aNow + Scaled(mOptions.leaseDuration, kDrift) + kTimerSlack;
+  mStatuses.clear();
+  mLeaseChecks.clear();
+  mInstancesByAddress.clear();
+  mPlans.clear();
+  mIncarnationsReported = false;
+  const Instant leaseEnd =
+    aNow + Scaled(mOptions.leaseDuration, kLeaseMargin) + kTimerSlack;
   for (const auto& [service, ranges] : aState.AllRanges()) {
     for (const wire::RangeSegment& segment : ranges.Segments()) {
       if (!segment.holder().empty()) {
-        Lease& lease = mLeases[segment.holder()];
-        lease.ends = longest;
-        Watch(segment.holder(), lease, longest);
+        InstanceStatus& status = mStatuses[segment.holder()];
+        status.leaseEnd = leaseEnd;
+        ScheduleLeaseCheck(segment.holder(), status, leaseEnd);
       }
     }
   }
   for (const auto& [id, instance] : aState.Instances()) {
-    Lease& lease = mLeases[id];
-    lease.lastHeartbeat = aNow;
-    lease.life = instance.life();
-    mLivesTold |= instance.life() > 0;
-    mAtAddress[instance.address()].insert(id);
+    InstanceStatus& status = mStatuses[id];
+    status.lastHeartbeatAt = aNow;
+    status.incarnation = instance.life();
+    mIncarnationsReported |= instance.life() > 0;
+    mInstancesByAddress[instance.address()].insert(id);
     if (instance.cold_ms() > 0) {
-      lease.coldIndex = instance.cold_index();
-      lease.coldUntil = aNow + milliseconds{ instance.cold_ms() };
+      status.coldIndex = instance.cold_index();
+      status.coldUntil = aNow + milliseconds{ instance.cold_ms() };
     }
   }
 }
 
-const HolderIndex&
+const OwnerIndex&
 RangeAssigner::IndexOf(const std::string& aService, const RangeTable& aRanges)
 {
-  HolderIndex& index = mGroups[aService].index;
-  const uint64_t before = index.SegmentsRead();
-  index.Follow(aRanges);
-  mVisits += index.SegmentsRead() - before;
+  OwnerIndex& index = mPlans[aService].index;
+  const uint64_t readBefore = index.SegmentsRead();
+  index.Update(aRanges);
+  mVisits += index.SegmentsRead() - readBefore;
   return index;
 }
 
 Result<void>
-RangeAssigner::CheckLife(const std::string& aInstance,
-                         uint64_t aLife,
-                         const State& aState) const
+RangeAssigner::CheckIncarnation(const std::string& aInstance,
+                                uint64_t aIncarnation,
+                                const State& aState) const
 {
-  const auto lease = mLeases.find(aInstance);
+  const auto status = mStatuses.find(aInstance);
   const wire::UpstreamInstance* known = aState.FindInstance(aInstance);
   const uint64_t newest =
-    std::max(lease == mLeases.end() ? 0 : lease->second.life,
+    std::max(status == mStatuses.end() ? 0 : status->second.incarnation,
              known == nullptr ? 0 : known->life());
-  // One program runs on all upstreams of a deployment: where one tells its
-  // lives apart, all do.
-  if (aLife == 0 && (newest > 0 || mLivesTold)) {
-    return Fail(Code::InvalidRecord, "The message does not tell its life.");
+  // All upstreams of a deployment run the same program: if one reports
+  // incarnations, all do.
+  if (aIncarnation == 0 && (newest > 0 || mIncarnationsReported)) {
+    return Fail(Code::InvalidRecord, "The message has no incarnation number.");
   }
-  if (aLife < newest) {
-    return Fail(Code::UpstreamSuperseded, "A later life is known.");
+  if (aIncarnation < newest) {
+    return Fail(Code::UpstreamSuperseded,
+                "A later incarnation of the instance is known.");
   }
   return {};
 }
 
-/// Safeguard: a message may come from a writer that is no upstream of this
-/// deployment. Taken for one, its sequence would outrun the true upstream's,
-/// which would then lose its keys, and its address would be sent requests. So
-/// what names a service that no item names, or does not tell its life where
-/// others do, changes nothing.
+/// A message may come from a sender that is not an upstream of this deployment.
+/// If the leader accepted it as a heartbeat of a known instance, its sequence
+/// number could exceed the real instance's, which would then lose its keys, and
+/// its address would receive requests. So a heartbeat changes nothing if it
+/// names a service that is not configured, or lacks an incarnation number where
+/// other instances report theirs.
 Result<void>
 RangeAssigner::Check(const Heartbeat& aHeartbeat, const State& aState) const
 {
   if (!ParseEndpoint(aHeartbeat.address)) {
-    return Fail(Code::InvalidRecord, "The heartbeat's address is none.");
+    return Fail(Code::InvalidRecord,
+                "The heartbeat's address is not a valid endpoint.");
   }
   const ItemTable& items = aState.Items();
   if (!items.IsEmpty() && !items.Services().contains(aHeartbeat.service)) {
-    return Fail(Code::InvalidRecord, "The heartbeat's service is not known.");
+    return Fail(Code::InvalidRecord, "The heartbeat's service does not exist.");
   }
   const wire::UpstreamInstance* known =
     aState.FindInstance(aHeartbeat.instance);
@@ -123,9 +129,10 @@
                             known->life() == aHeartbeat.life &&
                             known->service() != aHeartbeat.service;
   if (otherService) {
-    return Fail(Code::InvalidRecord, "The instance is one of another service.");
+    return Fail(Code::InvalidRecord,
+                "The instance is registered for another service.");
   }
-  return CheckLife(aHeartbeat.instance, aHeartbeat.life, aState);
+  return CheckIncarnation(aHeartbeat.instance, aHeartbeat.life, aState);
 }
 
 Result<wire::GatewayCommand>
@@ -135,14 +142,16 @@
   wire::GatewayCommand command;
   const wire::UpstreamInstance* known = aState.FindInstance(aLeaving.instance);
   if (aLeaving.life == 0 && known != nullptr && known->life() > 0) {
-    // Any life may have sent it, however late: the present one drains, and
-    // comes back if its heartbeats say that it is ready.
+    // Any incarnation may have sent this call, possibly long ago. The current
+    // one isDraining, and becomes active again if its heartbeats say that it is
+    // ready.
     command.mutable_withdraw_instance()->set_id(aLeaving.instance);
     return command;
   }
-  const bool told = aLeaving.life > 0;
+  const bool hasIncarnation = aLeaving.life > 0;
   Result<void> checked =
-    told ? CheckLife(aLeaving.instance, aLeaving.life, aState) : Result<void>{};
+    hasIncarnation ? CheckIncarnation(aLeaving.instance, aLeaving.life, aState)
+                   : Result<void>{};
   if (!checked) {
     return tl::unexpected(checked.error());
   }
@@ -154,9 +163,10 @@
 bool
 RangeAssigner::IsNewest(const Heartbeat& aHeartbeat) const
 {
-  const auto lease = mLeases.find(aHeartbeat.instance);
-  return lease != mLeases.end() && lease->second.life == aHeartbeat.life &&
-         lease->second.sequence == aHeartbeat.sequence;
+  const auto status = mStatuses.find(aHeartbeat.instance);
+  return status != mStatuses.end() &&
+         status->second.incarnation == aHeartbeat.life &&
+         status->second.sequence == aHeartbeat.sequence;
 }
 
 std::vector<wire::GatewayCommand>
@@ -168,26 +178,28 @@
   if (aState.HasEnded(aHeartbeat.instance, aHeartbeat.life)) {
     return commands;
   }
-  if (mLeases[aHeartbeat.instance].life < aHeartbeat.life) {
-    BeginLife(aHeartbeat.instance, aHeartbeat.life);
+  if (mStatuses[aHeartbeat.instance].incarnation < aHeartbeat.life) {
+    StartIncarnation(aHeartbeat.instance, aHeartbeat.life);
   }
-  Lease& lease = mLeases[aHeartbeat.instance];
-  if (aHeartbeat.sequence < lease.sequence) {
+  InstanceStatus& status = mStatuses[aHeartbeat.instance];
+  if (aHeartbeat.sequence < status.sequence) {
     return commands;
   }
-  lease.sequence = aHeartbeat.sequence;
-  mLivesTold |= aHeartbeat.life > 0;
-  NoteReplaced(aHeartbeat, aState, aArrived, commands);
+  status.sequence = aHeartbeat.sequence;
+  mIncarnationsReported |= aHeartbeat.life > 0;
+  EndReplacedInstances(aHeartbeat, aState, aArrived, commands);
   const wire::UpstreamInstance* known =
     aState.FindInstance(aHeartbeat.instance);
-  const bool sameLife = known != nullptr && known->life() == aHeartbeat.life;
-  const bool coldChanged = NoteCold(aHeartbeat, aState, aArrived);
-  const bool returns = Returns(aHeartbeat, known, aArrived);
-  const bool drains = sameLife && (known->draining() || aHeartbeat.draining);
-  if (!sameLife || coldChanged || returns || known->draining() != drains ||
-      known->slots() != aHeartbeat.slots) {
+  const bool sameIncarnation =
+    known != nullptr && known->life() == aHeartbeat.life;
+  const bool coldChanged = UpdateColdTime(aHeartbeat, aState, aArrived);
+  const bool returned = HasReturned(aHeartbeat, known, aArrived);
+  const bool isDraining =
+    sameIncarnation && (known->draining() || aHeartbeat.draining);
+  if (!sameIncarnation || coldChanged || returned ||
+      known->draining() != isDraining || known->slots() != aHeartbeat.slots) {
     wire::PutInstance* put = commands.emplace_back().mutable_put_instance();
-    put->set_returns(returns);
+    put->set_returns(returned);
     wire::UpstreamInstance* instance = put->mutable_instance();
     instance->set_id(aHeartbeat.instance);
     instance->set_service(aHeartbeat.service);
@@ -198,71 +210,74 @@
     instance->set_draining(aHeartbeat.draining);
     instance->set_life(aHeartbeat.life);
     const Duration cold =
-      std::max(lease.coldUntil - aArrived, Duration::zero());
+      std::max(status.coldUntil - aArrived, Duration::zero());
     instance->set_cold_ms(static_cast<uint32_t>(
       std::chrono::duration_cast<milliseconds>(cold).count()));
   }
-  const size_t before = commands.size();
-  if (sameLife) {
-    NoteReleased(aHeartbeat, aState, commands);
+  const size_t commandCount = commands.size();
+  if (sameIncarnation) {
+    FreeReleasedKeys(aHeartbeat, aState, commands);
   }
-  const bool counted = sameLife && IsActive(*known, aState, aArrived);
-  lease.lastHeartbeat = aArrived;
-  if (const auto group = mGroups.find(aHeartbeat.service);
-      !counted && group != mGroups.end()) {
-    NoteUncounted(group->second, sameLife);
+  const bool wasActive = sameIncarnation && IsActive(*known, aState, aArrived);
+  status.lastHeartbeatAt = aArrived;
+  if (const auto plan = mPlans.find(aHeartbeat.service);
+      !wasActive && plan != mPlans.end()) {
+    InvalidateLoads(plan->second, sameIncarnation);
   }
-  if (commands.size() != before) {
-    lease.releasedAt = aArrived;
-  } else if (sameLife && aState.IsEvacuated(known->data_centre())) {
-    GiveUpAll(aHeartbeat, aState, aArrived, commands);
-  } else if (sameLife) {
+  if (commands.size() != commandCount) {
+    status.releasedAt = aArrived;
+  } else if (sameIncarnation && aState.IsEvacuated(known->data_centre())) {
+    RevokeEvacuated(aHeartbeat, aState, aArrived, commands);
+  } else if (sameIncarnation) {
     PlanMoves(aHeartbeat, aState, aArrived, commands);
   }
   return commands;
 }
 
-/// Safeguard: one that comes back from a silence may be busy, and is not among
-/// the sums by which it would give keys away. But when a fleet comes back, or
-/// registers, sums for each would keep the leader busy until it is deposed.
+/// An instance that sends heartbeats again after a silence may be overloaded,
+/// but is missing from the loads by which its keys would be moved, so the loads
+/// are recomputed at once. The number of forced recomputations is limited: when
+/// a whole fleet returns or registers, one for each instance would keep the
+/// leader so busy that it is deposed.
 void
-RangeAssigner::NoteUncounted(Group& aGroup, bool aComesBack)
+RangeAssigner::InvalidateLoads(ServicePlan& aPlan, bool aReturning)
 {
-  if (aComesBack && aGroup.sumsAgain < kSumsAgain) {
-    ++aGroup.sumsAgain;
-    aGroup.holdersAt.reset();
+  if (aReturning && aPlan.forcedUpdates < kMaxForcedUpdates) {
+    ++aPlan.forcedUpdates;
+    aPlan.loadsIndex.reset();
   }
-  aGroup.holdersStale = true;
+  aPlan.loadsStale = true;
 }
 
-/// Only where a service bounds what a cold upstream may get: elsewhere nobody
-/// needs to know.
+/// Does nothing unless the service limits the request rate of cold upstreams:
+/// elsewhere the time is not used.
 bool
-RangeAssigner::NoteCold(const Heartbeat& aHeartbeat,
-                        const State& aState,
-                        Instant aNow)
+RangeAssigner::UpdateColdTime(const Heartbeat& aHeartbeat,
+                              const State& aState,
+                              Instant aNow)
 {
   const auto& services = aState.Items().Services();
   const auto service = services.find(aHeartbeat.service);
   if (service == services.end() || service->second.cold_rate() <= 0) {
     return false;
   }
-  Lease& lease = mLeases[aHeartbeat.instance];
+  InstanceStatus& status = mStatuses[aHeartbeat.instance];
   const wire::UpstreamInstance* known =
     aState.FindInstance(aHeartbeat.instance);
   const bool knownCold = known != nullptr && known->cold_ms() > 0;
-  if (knownCold && known->cold_index() != lease.coldIndex) {
-    // Told by a heartbeat, it is known here for how long; only what the end of
-    // an evacuation assumed is new.
-    lease.coldIndex = known->cold_index();
-    if (lease.coldUntil <= aNow) {
-      lease.coldUntil = aNow + milliseconds{ known->cold_ms() };
+  if (knownCold && known->cold_index() != status.coldIndex) {
+    // If a heartbeat reported the cold phase, its end is known here already.
+    // Only a cold phase that the state assumes at the end of an evacuation is
+    // new.
+    status.coldIndex = known->cold_index();
+    if (status.coldUntil <= aNow) {
+      status.coldUntil = aNow + milliseconds{ known->cold_ms() };
     }
   }
-  const Instant until = aNow + aHeartbeat.cold;
+  const Instant reportedEnd = aNow + aHeartbeat.cold;
   if (aHeartbeat.cold > Duration::zero() &&
-      (!knownCold || until > lease.coldUntil + kColdSlack)) {
-    lease.coldUntil = until;
+      (!knownCold || reportedEnd > status.coldUntil + kColdReportTolerance)) {
+    status.coldUntil = reportedEnd;
     return true;
   }
   return false;
@@ -273,22 +288,23 @@
                         const State& aState,
                         Instant aNow) const
 {
-  const auto lease = mLeases.find(aInstance.id());
-  return lease != mLeases.end() &&
-         IsActive(aInstance, lease->second, aState, aNow);
+  const auto status = mStatuses.find(aInstance.id());
+  return status != mStatuses.end() &&
+         IsActive(aInstance, status->second, aState, aNow);
 }
 
 bool
 RangeAssigner::IsActive(const wire::UpstreamInstance& aInstance,
-                        const Lease& aLease,
+                        const InstanceStatus& aStatus,
                         const State& aState,
                         Instant aNow) const
 {
   if (aInstance.draining() || aState.IsEvacuated(aInstance.data_centre()) ||
-      aLease.expiring || !aLease.lastHeartbeat) {
+      aStatus.freeingKeys || !aStatus.lastHeartbeatAt) {
     return false;
   }
-  return aNow - *aLease.lastHeartbeat < Scaled(mOptions.heartbeatInterval, 2.5);
+  return aNow - *aStatus.lastHeartbeatAt <
+         Scaled(mOptions.heartbeatInterval, 2.5);
 }
 
 std::optional<Grants>
@@ -297,13 +313,13 @@
                           Instant aArrived)
 {
   const std::string& id = aHeartbeat.instance;
-  const auto found = mLeases.find(id);
+  const auto found = mStatuses.find(id);
   const wire::UpstreamInstance* instance = aState.FindInstance(id);
-  if (instance == nullptr || found == mLeases.end()) {
+  if (instance == nullptr || found == mStatuses.end()) {
     return std::nullopt;
   }
-  Lease& lease = found->second;
-  if (lease.expiring || !IsNewest(aHeartbeat) ||
+  InstanceStatus& status = found->second;
+  if (status.freeingKeys || !IsNewest(aHeartbeat) ||
       instance->life() != aHeartbeat.life ||
       !OwnsKeys(aState, instance->service())) {
     return std::nullopt;
@@ -313,7 +329,7 @@
   const RangeTable* ranges = aState.Ranges(instance->service());
   if (ranges != nullptr && !instance->draining()) {
     for (const uint32_t key :
-         IndexOf(instance->service(), *ranges).HeldBy(id)) {
+         IndexOf(instance->service(), *ranges).OwnedBy(id)) {
       const wire::RangeSegment& segment = ranges->Find(key);
       if (!segment.held_back()) {
         grants.ranges.push_back(
@@ -321,13 +337,13 @@
       }
     }
   }
-  // Counted from the arrival: the instance counts from the sending, so its hold
-  // ends no later than this.
-  lease.ends =
-    std::max(lease.ends,
-             aArrived + Scaled(mOptions.leaseDuration, kDrift) + kTimerSlack);
-  if (!lease.watchedAt) {
-    Watch(id, lease, lease.ends);
+  // The leader counts from the arrival of the heartbeat, and the instance from
+  // the earlier sending, so the instance's lease ends no later than this.
+  status.leaseEnd = std::max(
+    status.leaseEnd,
+    aArrived + Scaled(mOptions.leaseDuration, kLeaseMargin) + kTimerSlack);
+  if (!status.leaseCheckAt) {
+    ScheduleLeaseCheck(id, status, status.leaseEnd);
   }
   return grants;
 }
@@ -336,14 +352,14 @@
 RangeAssigner::Tick(const State& aState, Instant aNow)
 {
   std::vector<wire::GatewayCommand> commands;
-  FreeExpired(aState, aNow, commands);
-  Forget(aState, aNow, commands);
-  for (auto& [service, group] : mGroups) {
-    group.load.Decay(aNow, group.holders.size());
-    group.holdersAt.reset();
-    group.sumsAgain = 0;
-    UpdatePool(service, aState, aNow);
-    EndReservations(group, aNow);
+  FreeExpiredLeases(aState, aNow, commands);
+  RemoveSilentInstances(aState, aNow, commands);
+  for (auto& [service, plan] : mPlans) {
+    plan.load.Decay(aNow, plan.ownerLoads.size());
+    plan.loadsIndex.reset();
+    plan.forcedUpdates = 0;
+    UpdateFreeSince(service, aState, aNow);
+    ExpireReservations(plan, aNow);
   }
   return commands;
 }
--- a/src/librattandyke/gateway/range_assigner_fleet_test.cpp
+++ b/src/librattandyke/gateway/range_assigner_fleet_test.cpp
@@ -1,5 +1,5 @@
-// Loads of a service with some hundred owners of keys, on the leader's own
-// decisions and a simulated clock.
+// Load distribution and cost of RangeAssigner with hundreds to thousands of
+// instances, on a simulated clock.
 #include "gateway/range_assigner.h"
 
 #include <algorithm>
@@ -19,49 +19,52 @@
 using namespace testing; // NOLINT(google-build-using-namespace)
 using std::chrono::milliseconds;
 
-/// A service of many upstreams. Their heartbeats come evenly spread; each
-/// reports what an answer left out 100 ms later. Requests come at random.
+/// A service with many upstreams. Their heartbeats are evenly spread over the
+/// interval, and each reports a release 100 ms after the answer that revoked
+/// the keys. Requests arrive at random.
 class Fleet
 {
 public:
-  static constexpr milliseconds kStep{ 20 };
-  static constexpr milliseconds kReport{ 200 };
-  static constexpr Duration kReleaseTime = milliseconds{ 100 };
+  static constexpr milliseconds kTimeStep{ 20 };
+  static constexpr milliseconds kReportInterval{ 200 };
+  static constexpr Duration kReleaseLatency = milliseconds{ 100 };
 
-  /// @param aRequests for all keys together, a second, each key alike.
+  /// @param aRequests requests per second for all keys together, evenly
+  /// distributed.
   Fleet(size_t aUpstreams, double aRequests, unsigned aSeed)
     : mRandom(aSeed)
     , mRequests(aRequests)
   {
-    // One in three is slow, as upstreams of one service differ.
+    // Every third upstream is slow.
     constexpr double kFast = 0.112;
     constexpr double kSlow = 0.256;
     for (size_t at = 0; at < aUpstreams; ++at) {
       Upstream upstream;
       upstream.id = "i-" + std::to_string(1000 + at);
       upstream.address = "10.0.0.1:" + std::to_string(1000 + at);
-      upstream.seconds = at % 3 == 2 ? kSlow : kFast;
-      upstream.next = leader.now + kHeartbeatInterval * at / aUpstreams;
+      upstream.latencySeconds = at % 3 == 2 ? kSlow : kFast;
+      upstream.nextHeartbeatAt =
+        leader.now + kHeartbeatInterval * at / aUpstreams;
       mUpstreams.push_back(std::move(upstream));
     }
   }
 
-  /// @return part of the requests that meanwhile found no owner of their key.
-  double PassFor(Duration aTime)
+  /// @return the share of the requests in this time whose key had no owner.
+  double AdvanceTime(Duration aTime)
   {
     double requests = 0;
     double unowned = 0;
     for (const Instant end = leader.now + aTime; leader.now < end;) {
-      leader.AdvanceTime(kStep);
+      leader.AdvanceTime(kTimeStep);
       for (Upstream& upstream : mUpstreams) {
-        if (leader.now >= upstream.next) {
-          Beat(upstream);
+        if (leader.now >= upstream.nextHeartbeatAt) {
+          SendHeartbeat(upstream);
         }
       }
       const RangeTable* ranges = leader.state.Ranges("board");
-      const auto came = std::poisson_distribution<int>(
-        mRequests * std::chrono::duration<double>(kStep).count())(mRandom);
-      for (int request = 0; request < came; ++request) {
+      const auto arrived = std::poisson_distribution<int>(
+        mRequests * std::chrono::duration<double>(kTimeStep).count())(mRandom);
+      for (int request = 0; request < arrived; ++request) {
         const auto key = static_cast<uint32_t>(mRandom() % kKeyCount);
         mLoad.add_buckets(key);
         mLoad.add_requests(1);
@@ -76,68 +79,70 @@
     return unowned / requests;
   }
 
-  /// @return part of the requests whose owner is asked for more than aPart of
-  /// what it can run.
-  double Overrun(double aPart) const
+  /// @return the share of the requests whose owner has a utilization above
+  /// aUtilization.
+  double OverloadedShare(double aUtilization) const
   {
-    double overrun = 0;
+    double overloaded = 0;
     for (const Upstream& upstream : mUpstreams) {
       double keys = 0;
       for (const KeySpan& span : upstream.held) {
         keys += span.Size();
       }
       const double share = keys / kKeyCount;
-      const double busy = share * mRequests * upstream.seconds / kSlots;
-      overrun += busy > aPart ? share : 0;
+      const double utilization =
+        share * mRequests * upstream.latencySeconds / kSlots;
+      overloaded += utilization > aUtilization ? share : 0;
     }
-    return overrun;
+    return overloaded;
   }
 
   SimulatedLeader leader;
 
 private:
-  /// Of each upstream, as From says.
+  /// Slots of each upstream, as set by HeartbeatFrom.
   static constexpr double kSlots = 2;
 
   struct Upstream
   {
     std::string id;
     std::string address;
-    double seconds = 0;
+    double latencySeconds = 0;
     uint64_t sequence = 0;
-    Instant next{};
+    Instant nextHeartbeatAt{};
     std::vector<KeySpan> held;
     std::vector<ReleasedRange> released;
   };
 
-  /// What entries have counted, and the times of some answers.
+  /// Reports the requests that the entry hosts have counted, and a response
+  /// time of each upstream.
   void Report()
   {
-    mDue += kStep;
-    if (mDue < kReport) {
+    mSinceReport += kTimeStep;
+    if (mSinceReport < kReportInterval) {
       return;
     }
-    mDue = {};
+    mSinceReport = {};
     mLoad.set_service("board");
     leader.rangeAssigner->AddLoad(mLoad);
     mLoad.Clear();
-    // A report is an average of some seven answers, which differ by about
-    // their own length.
+    // A report is a mean of about seven responses, whose standard deviation is
+    // about as large as their mean.
     std::lognormal_distribution<double> noise(-0.07, 0.37);
     for (const Upstream& upstream : mUpstreams) {
-      leader.rangeAssigner->RecordLatency(upstream.id,
-                                          upstream.seconds * noise(mRandom));
+      leader.rangeAssigner->RecordLatency(
+        upstream.id, upstream.latencySeconds * noise(mRandom));
     }
   }
 
-  void Beat(Upstream& aUpstream)
+  void SendHeartbeat(Upstream& aUpstream)
   {
     Heartbeat heartbeat = HeartbeatFrom(aUpstream.id, ++aUpstream.sequence);
     heartbeat.address = aUpstream.address;
     heartbeat.released = std::exchange(aUpstream.released, {});
     const auto grants = leader.HandleHeartbeat(heartbeat);
     if (!grants) {
-      aUpstream.next = leader.now + kHeartbeatInterval;
+      aUpstream.nextHeartbeatAt = leader.now + kHeartbeatInterval;
       return;
     }
     std::vector<KeySpan> kept;
@@ -150,58 +155,61 @@
       }
     }
     aUpstream.held = std::move(kept);
-    aUpstream.next =
+    aUpstream.nextHeartbeatAt =
       leader.now +
-      (aUpstream.released.empty() ? kHeartbeatInterval : kReleaseTime);
+      (aUpstream.released.empty() ? kHeartbeatInterval : kReleaseLatency);
   }
 
   std::mt19937 mRandom;
   const double mRequests;
   std::vector<Upstream> mUpstreams;
   wire::RangeLoad mLoad;
-  Duration mDue{};
+  Duration mSinceReport{};
 };
 
-/// Keeps slots busy for three quarters of the time: 9.75 a second for each of
-/// 400 upstreams with two slots, whose answers take 0.16 s on average.
+/// Uses three quarters of all slots: 9.75 requests per second for each of 400
+/// upstreams with two slots and a mean response time of 0.16 s.
 constexpr double kBusyRequests = 3900;
 
-/// 99 in 100 requests are to be served in time. Half of the hundredth is left
-/// for upstreams and links; the other half may meet keys that are moved.
-constexpr double kMostUnowned = 0.005;
+/// 99 of 100 requests must be served in time. Half of the remaining hundredth
+/// is left for failures of upstreams and links; the other half may be for keys
+/// that are being moved.
+constexpr double kMaxUnownedShare = 0.005;
 
-/// Nine in ten requests are to have an owner with a tenth of its time to spare;
-/// beyond that, queues grow faster than objectives allow.
-constexpr double kTenthToSpare = 0.9;
-constexpr double kMostOverrun = 0.1;
+/// Nine in ten requests must have an owner that is idle for a tenth of its
+/// time. Above that utilization, queues grow faster than latency objectives
+/// allow.
+constexpr double kMaxUtilization = 0.9;
+constexpr double kMaxOverloadedShare = 0.1;
 
-// Four hundred upstreams of different speeds own the keys of a service, and
-// each key is asked for as often as any other. Callers see late answers and
-// refusals if shares follow loads and times that differ by chance: some owners
-// are overrun while others idle, and keys that are moved have no owner for a
-// fifth of a second.
-TEST(RangeAssignerFleet, EvenLoadOfManyHoldersIsSharedOut)
+// 400 upstreams of different speeds own the keys of a service, and all keys get
+// the same rate of requests. If shares follow random differences of loads and
+// response times, some owners are overloaded while others are idle, and moved
+// keys have no owner for a fifth of a second: callers see late answers and
+// refusals.
+TEST(RangeAssignerFleet, EvenLoadIsSharedByManyOwners)
 {
   Fleet fleet(400, kBusyRequests, 20261203);
-  fleet.PassFor(std::chrono::seconds{ 15 });
-  EXPECT_LE(fleet.PassFor(std::chrono::seconds{ 20 }), kMostUnowned);
-  EXPECT_LE(fleet.Overrun(kTenthToSpare), kMostOverrun);
+  fleet.AdvanceTime(std::chrono::seconds{ 15 });
+  EXPECT_LE(fleet.AdvanceTime(std::chrono::seconds{ 20 }), kMaxUnownedShare);
+  EXPECT_LE(fleet.OverloadedShare(kMaxUtilization), kMaxOverloadedShare);
 }
 
-// The same, and another host takes over the lead: it knows who owns which key,
-// and neither loads nor times. Until it knows them the keys must stay.
+// As above, and then a new leader is elected. It knows the owners of all keys,
+// but neither loads nor response times. Until it knows them, it must move few
+// keys.
 TEST(RangeAssignerFleet, NewLeaderMovesFewKeys)
 {
   Fleet fleet(400, kBusyRequests, 20261203);
-  fleet.PassFor(std::chrono::seconds{ 15 });
+  fleet.AdvanceTime(std::chrono::seconds{ 15 });
   fleet.leader.FailOver();
-  EXPECT_LE(fleet.PassFor(std::chrono::seconds{ 5 }), kMostUnowned);
+  EXPECT_LE(fleet.AdvanceTime(std::chrono::seconds{ 5 }), kMaxUnownedShare);
 }
 
-// A fleet of two thousand upstreams starts: each registers, which changes the
-// state, and asks for keys. The leader must not go over all of them for each;
-// it would be deposed before it has granted anything.
-TEST(RangeAssignerFleet, RegistrationsDoNotEachSumUpAllHolders)
+// A fleet of 2000 upstreams starts. Each registers, which changes the state,
+// and requests keys. If the leader visited all instances for each of them, it
+// would be deposed before it granted any keys.
+TEST(RangeAssignerFleet, RegistrationsDoNotEachComputeLoads)
 {
   constexpr size_t kFleet = 2000;
   SimulatedLeader leader;
@@ -214,7 +222,7 @@
     }
     leader.AdvanceTime(RangeAssigner::kTick);
   }
-  EXPECT_LT(leader.rangeAssigner->Sums(), 3 * kFleet / 10);
+  EXPECT_LT(leader.rangeAssigner->LoadComputations(), 3 * kFleet / 10);
   const auto& segments = leader.state.Ranges("board")->Segments();
   const auto free =
     std::count_if(segments.begin(), segments.end(), [](const auto& aSegment) {
@@ -223,68 +231,69 @@
   EXPECT_EQ(free, 0);
 }
 
-// Guards against a leader whose work for one heartbeat, or for one tick, grows
-// with the fleet: it is deposed while thousands register, again and again, and
-// nobody is granted keys.
-TEST(RangeAssignerFleet, WorkForAHeartbeatDoesNotGrowWithTheFleet)
+// Guards against work per heartbeat or tick that grows with the fleet: while
+// thousands register, the leader would be deposed repeatedly, and no keys would
+// be granted.
+TEST(RangeAssignerFleet, WorkPerHeartbeatIsIndependentOfFleetSize)
 {
   constexpr uint64_t kRounds = 4;
-  constexpr uint64_t kVisitsEach = 16;
+  constexpr uint64_t kMaxVisitsPerHeartbeat = 16;
   for (const size_t fleet : { 100U, 1000U, 10000U }) {
     SimulatedLeader leader;
     for (uint64_t sequence = 1; sequence <= kRounds; ++sequence) {
-      Instant ticked = leader.now;
+      Instant lastTick = leader.now;
       for (size_t at = 0; at < fleet; ++at) {
         Heartbeat heartbeat =
           HeartbeatFrom("i-" + std::to_string(at), sequence);
         heartbeat.address = "10.0.0.1:" + std::to_string(at);
         leader.HandleHeartbeat(heartbeat);
         leader.now += kHeartbeatInterval / fleet;
-        if (leader.now - ticked >= RangeAssigner::kTick) {
-          ticked = leader.now;
+        if (leader.now - lastTick >= RangeAssigner::kTick) {
+          lastTick = leader.now;
           leader.Commit(leader.rangeAssigner->Tick(leader.state, leader.now));
         }
       }
     }
-    EXPECT_LE(leader.rangeAssigner->Visits(), kVisitsEach * kRounds * fleet);
+    EXPECT_LE(leader.rangeAssigner->Visits(),
+              kMaxVisitsPerHeartbeat * kRounds * fleet);
     EXPECT_GE(leader.state.Ranges("board")->Segments().size(), fleet / 2);
   }
 }
 
-// Guards against sums that are made anew for each newcomer while others hold
-// keys already: the leader stands still as soon as it has granted the first
-// keys, and is deposed.
-TEST(RangeAssignerFleet, NewcomersAmongHoldersDoNotEachSumUpAllHolders)
+// Guards against loads that are computed for each new instance while others own
+// keys: the leader would stall after its first grants, and be deposed.
+TEST(RangeAssignerFleet, NewInstancesDoNotEachComputeLoads)
 {
   constexpr size_t kFleet = 2000;
   SimulatedLeader leader;
-  const auto answer = [&](size_t aAt, uint64_t aSequence) {
+  const auto sendHeartbeat = [&](size_t aAt, uint64_t aSequence) {
     Heartbeat heartbeat = HeartbeatFrom("i-" + std::to_string(aAt), aSequence);
     heartbeat.address = "10.0.0.1:" + std::to_string(aAt);
     leader.HandleHeartbeat(heartbeat);
   };
   for (uint64_t sequence = 1; sequence <= 3; ++sequence) {
     for (size_t at = 0; at < kFleet / 2; ++at) {
-      answer(at, sequence);
+      sendHeartbeat(at, sequence);
       leader.now += kHeartbeatInterval / (kFleet / 2);
     }
   }
-  const uint64_t before = leader.rangeAssigner->Sums();
+  const uint64_t before = leader.rangeAssigner->LoadComputations();
   for (size_t at = 0; at < kFleet / 2; ++at) {
-    answer(kFleet / 2 + at, 1);
-    answer(at, 4);
+    sendHeartbeat(kFleet / 2 + at, 1);
+    sendHeartbeat(at, 4);
     leader.now += kHeartbeatInterval / (kFleet / 2);
   }
-  // Every 20 ms at most, within one interval of a second.
-  EXPECT_LE(leader.rangeAssigner->Sums() - before, 60U);
+  // At most one computation every 20 ms, within one interval of a second.
+  EXPECT_LE(leader.rangeAssigner->LoadComputations() - before, 60U);
 }
 
-// Guards against the same when a fleet was silent and comes back.
-TEST(RangeAssignerFleet, HoldersThatComeBackDoNotEachSumUpAllHolders)
+// Guards against the same stall when a fleet sends heartbeats again after a
+// silence.
+TEST(RangeAssignerFleet, ReturningInstancesDoNotEachComputeLoads)
 {
   constexpr size_t kFleet = 2000;
   SimulatedLeader leader;
-  const auto round = [&](uint64_t aSequence) {
+  const auto sendHeartbeats = [&](uint64_t aSequence) {
     for (size_t at = 0; at < kFleet; ++at) {
       Heartbeat heartbeat = HeartbeatFrom("i-" + std::to_string(at), aSequence);
       heartbeat.address = "10.0.0.1:" + std::to_string(at);
@@ -294,17 +303,17 @@
     leader.AdvanceTime(RangeAssigner::kTick);
   };
   for (uint64_t sequence = 1; sequence <= 3; ++sequence) {
-    round(sequence);
+    sendHeartbeats(sequence);
   }
   leader.AdvanceTime(kHeartbeatInterval * 3);
-  const uint64_t before = leader.rangeAssigner->Sums();
-  round(4);
-  EXPECT_LE(leader.rangeAssigner->Sums() - before, 60U);
+  const uint64_t before = leader.rangeAssigner->LoadComputations();
+  sendHeartbeats(4);
+  EXPECT_LE(leader.rangeAssigner->LoadComputations() - before, 60U);
 }
 
-// Guards against a slow log that is kept slow by the same commands again and
-// again: a seventh of a fleet falls dark while nothing is committed.
-TEST(RangeAssignerFleet, KeysAreNotFreedAgainWhileTheLogIsSlow)
+// Guards against a slow log that repeated commands keep slow: every instance of
+// a fleet of 700 stops sending heartbeats while nothing is committed.
+TEST(RangeAssignerFleet, FreeCommandsAreNotRepeatedWhileLogIsSlow)
 {
   constexpr size_t kFleet = 700;
   SimulatedLeader leader;
@@ -317,36 +326,36 @@
     }
     leader.AdvanceTime(RangeAssigner::kTick);
   }
-  std::set<std::string> holders;
+  std::set<std::string> owners;
   for (const auto& segment : leader.state.Ranges("board")->Segments()) {
     if (!segment.holder().empty()) {
-      holders.insert(segment.holder());
+      owners.insert(segment.holder());
     }
   }
-  ASSERT_GT(holders.size(), kFleet / 2);
+  ASSERT_GT(owners.size(), kFleet / 2);
   leader.now += kLeaseDuration * 2;
-  size_t planned = 0;
+  size_t freeCommands = 0;
   for (int tick = 0; tick < 9; ++tick) {
     for (const auto& command :
          leader.rangeAssigner->Tick(leader.state, leader.now)) {
-      planned += command.has_free_ranges() ? 1 : 0;
+      freeCommands += command.has_free_ranges() ? 1 : 0;
     }
     leader.now += RangeAssigner::kTick;
   }
-  EXPECT_EQ(planned, holders.size());
+  EXPECT_EQ(freeCommands, owners.size());
 }
 
-// Heartbeats of many instances arrive while the first grants are committed.
-// Each must be planned other keys: of grants of the same keys the log takes
-// one.
-TEST(RangeAssignerFleet, GrantsUnderWayAreOfDifferentKeys)
+// Heartbeats of many instances arrive while the first grants are being
+// committed. Their grants must not overlap: of two grants of the same key, one
+// fails.
+TEST(RangeAssignerFleet, PendingGrantsDoNotOverlap)
 {
   constexpr size_t kFleet = 50;
   SimulatedLeader leader;
   const auto heartbeat = [](size_t aAt, uint64_t aSequence) {
-    Heartbeat one = HeartbeatFrom("i-" + std::to_string(aAt), aSequence);
-    one.address = "10.0.0.1:" + std::to_string(1000 + aAt);
-    return one;
+    Heartbeat result = HeartbeatFrom("i-" + std::to_string(aAt), aSequence);
+    result.address = "10.0.0.1:" + std::to_string(1000 + aAt);
+    return result;
   };
   for (size_t at = 0; at < kFleet; ++at) {
     leader.HandleHeartbeat(heartbeat(at, 1));
@@ -355,11 +364,11 @@
   const auto plan = [&](uint64_t aSequence) {
     std::vector<KeySpan> planned;
     for (size_t at = 0; at < kFleet; ++at) {
-      const Heartbeat one = heartbeat(at, aSequence);
+      const Heartbeat sent = heartbeat(at, aSequence);
       leader.Commit(
-        leader.rangeAssigner->OnHeartbeat(one, leader.state, leader.now));
+        leader.rangeAssigner->OnHeartbeat(sent, leader.state, leader.now));
       const auto grant =
-        leader.rangeAssigner->PlanGrant(one, leader.state, leader.now);
+        leader.rangeAssigner->PlanGrant(sent, leader.state, leader.now);
       if (grant) {
         for (const wire::KeyRange& range : grant->grant_ranges().ranges()) {
           planned.push_back({ range.from(), range.to() });
@@ -375,7 +384,7 @@
       EXPECT_FALSE(Intersect(planned[one], planned[other]));
     }
   }
-  // None was committed: the keys are planned again.
+  // No grant was committed: after a moment the keys are granted again.
   leader.AdvanceTime(milliseconds{ 400 });
   EXPECT_GT(plan(3).size(), kFleet / 2);
 }
--- a/src/librattandyke/gateway/range_assigner_leases.cpp
+++ b/src/librattandyke/gateway/range_assigner_leases.cpp
@@ -1,4 +1,4 @@
-// How holds end: by their time, by a release, or by a successor.
+// Expiry of leases, release of keys, and replacement of instances.
 #include "gateway/range_assigner.h"
 
 #include <algorithm>
@@ -10,16 +10,17 @@
 
 namespace {
 
-/// Heartbeats of a new process at an address must be this many intervals apart,
-/// with the old one silent, before it is asked whether the old one has ended: a
-/// single one is more likely held up than a successor's.
-constexpr double kReplaceIntervals = 0.7;
-/// Leases are looked through for ones that are over within a second, a part in
-/// each tick.
-constexpr size_t kForgetParts = 10;
-constexpr size_t kLeastForgotten = 256;
-/// Commands that free keys are planned again once they must have been lost.
-constexpr Duration kFreedFor = std::chrono::seconds{ 1 };
+/// A new process at an address replaces a silent oldStatus one only after it
+/// has sent heartbeats for this many intervals. A single heartbeat is more
+/// likely a delayed one of an earlier process.
+constexpr double kReplacementIntervals = 0.7;
+/// Number of ticks, one second in total, in which RemoveSilentInstances visits
+/// all statuses, and the least number that it visits in a tick.
+constexpr size_t kRemovalTicks = 10;
+constexpr size_t kMinRemovalBatch = 256;
+/// Commands that free keys and are not applied by then are lost, and are
+/// proposed again.
+constexpr Duration kFreeRetryInterval = std::chrono::seconds{ 1 };
 
 wire::KeyRange&
 AddRange(wire::FreeRanges& aFree, KeySpan aKeys, const std::string& aHandover)
@@ -34,19 +35,21 @@
 } // namespace
 
 void
-RangeAssigner::Watch(const std::string& aId, Lease& aLease, Instant aAt)
+RangeAssigner::ScheduleLeaseCheck(const std::string& aId,
+                                  InstanceStatus& aStatus,
+                                  Instant aAt)
 {
-  Unwatch(aId, aLease);
-  aLease.watchedAt = aAt;
-  mWatched.emplace(aAt, aId);
+  CancelLeaseCheck(aId, aStatus);
+  aStatus.leaseCheckAt = aAt;
+  mLeaseChecks.emplace(aAt, aId);
 }
 
 void
-RangeAssigner::Unwatch(const std::string& aId, Lease& aLease)
+RangeAssigner::CancelLeaseCheck(const std::string& aId, InstanceStatus& aStatus)
 {
-  if (aLease.watchedAt) {
-    mWatched.erase({ *aLease.watchedAt, aId });
-    aLease.watchedAt.reset();
+  if (aStatus.leaseCheckAt) {
+    mLeaseChecks.erase({ *aStatus.leaseCheckAt, aId });
+    aStatus.leaseCheckAt.reset();
   }
 }
 
@@ -55,69 +58,72 @@
 {
   const auto& all = aState.AllRanges();
   return std::any_of(all.begin(), all.end(), [&](const auto& aItem) {
-    return !IndexOf(aItem.first, aItem.second).HeldBy(aId).empty();
+    return !IndexOf(aItem.first, aItem.second).OwnedBy(aId).empty();
   });
 }
 
 /// A single heartbeat may have been sent before the call that withdrew the
-/// instance, and ones that were held up arrive together. Two that are most of
-/// an interval apart come from an instance that goes on.
+/// instance, and delayed heartbeats arrive together. Two heartbeats that arrive
+/// most of an interval apart come from an instance that still runs.
 bool
-RangeAssigner::Returns(const Heartbeat& aHeartbeat,
-                       const wire::UpstreamInstance* aKnown,
-                       Instant aNow)
+RangeAssigner::HasReturned(const Heartbeat& aHeartbeat,
+                           const wire::UpstreamInstance* aKnown,
+                           Instant aNow)
 {
-  Lease& lease = mLeases[aHeartbeat.instance];
+  InstanceStatus& status = mStatuses[aHeartbeat.instance];
   const bool withdrawn = aKnown != nullptr && aKnown->withdrawn() &&
                          aKnown->life() == aHeartbeat.life;
   if (!withdrawn || aHeartbeat.draining) {
-    lease.readySince.reset();
+    status.readySince.reset();
     return false;
   }
-  if (!lease.readySince) {
-    lease.readySince = aNow;
+  if (!status.readySince) {
+    status.readySince = aNow;
   }
-  return aNow - *lease.readySince >=
-         Scaled(mOptions.heartbeatInterval, kReplaceIntervals);
+  return aNow - *status.readySince >=
+         Scaled(mOptions.heartbeatInterval, kReplacementIntervals);
 }
 
-/// A later life holds nothing of what the earlier one held, and its calls are
-/// numbered anew. The end of the earlier life's hold stays: it is the bound
-/// until the registration of the later one is committed.
+/// A later incarnation holds none of the earlier one's keys, and numbers its
+/// heartbeats from the beginning. The end of the earlier incarnation's lease is
+/// kept: it applies until the registration of the later one is committed.
 void
-RangeAssigner::BeginLife(const std::string& aInstance, uint64_t aLife)
+RangeAssigner::StartIncarnation(const std::string& aInstance,
+                                uint64_t aIncarnation)
 {
-  Lease& lease = mLeases[aInstance];
-  Lease next;
-  next.life = aLife;
-  next.ends = lease.ends;
-  next.watchedAt = lease.watchedAt;
-  lease = next;
+  InstanceStatus& status = mStatuses[aInstance];
+  InstanceStatus next;
+  next.incarnation = aIncarnation;
+  next.leaseEnd = status.leaseEnd;
+  next.leaseCheckAt = status.leaseCheckAt;
+  status = next;
 }
 
 void
-RangeAssigner::NoteReplaced(const Heartbeat& aHeartbeat,
-                            const State& aState,
-                            Instant aNow,
-                            std::vector<wire::GatewayCommand>& aCommands)
+RangeAssigner::EndReplacedInstances(
+  const Heartbeat& aHeartbeat,
+  const State& aState,
+  Instant aNow,
+  std::vector<wire::GatewayCommand>& aCommands)
 {
-  Lease& lease = mLeases[aHeartbeat.instance];
-  if (!lease.firstHeartbeat) {
-    lease.firstHeartbeat = aNow;
+  InstanceStatus& status = mStatuses[aHeartbeat.instance];
+  if (!status.firstHeartbeatAt) {
+    status.firstHeartbeatAt = aNow;
   }
   for (const std::string& id : OthersAtAddress(aHeartbeat, aState)) {
     const wire::UpstreamInstance& other = *aState.FindInstance(id);
-    const Lease& old = mLeases[id];
-    const bool silent =
-      !old.lastHeartbeat || *old.lastHeartbeat < *lease.firstHeartbeat;
-    const bool lasting = aNow - *lease.firstHeartbeat >=
-                         Scaled(mOptions.heartbeatInterval, kReplaceIntervals);
-    if (silent && lasting && IsOver(other, aHeartbeat, aNow)) {
+    const InstanceStatus& oldStatus = mStatuses[id];
+    const bool silent = !oldStatus.lastHeartbeatAt ||
+                        *oldStatus.lastHeartbeatAt < *status.firstHeartbeatAt;
+    const bool persistent =
+      aNow - *status.firstHeartbeatAt >=
+      Scaled(mOptions.heartbeatInterval, kReplacementIntervals);
+    if (silent && persistent && IsSafeToEnd(other, aHeartbeat, aNow)) {
       wire::EndInstance* end = aCommands.emplace_back().mutable_end_instance();
       end->set_id(id);
       end->set_life(other.life());
-      mLeases[id].expiring = true;
-      FreeAll(id, aState, aCommands);
+      mStatuses[id].freeingKeys = true;
+      FreeAllKeys(id, aState, aCommands);
     }
   }
 }
@@ -125,48 +131,48 @@
 std::vector<std::string>
 RangeAssigner::OthersAtAddress(const Heartbeat& aHeartbeat, const State& aState)
 {
-  std::set<std::string>& ids = mAtAddress[aHeartbeat.address];
+  std::set<std::string>& ids = mInstancesByAddress[aHeartbeat.address];
   ids.insert(aHeartbeat.instance);
   mVisits += ids.size();
   std::erase_if(ids, [&](const std::string& aId) {
     const wire::UpstreamInstance* known = aState.FindInstance(aId);
-    const bool there =
+    const bool registered =
       known != nullptr && known->address() == aHeartbeat.address;
-    return !there && aId != aHeartbeat.instance;
+    return !registered && aId != aHeartbeat.instance;
   });
   std::vector<std::string> others(ids.begin(), ids.end());
   std::erase(others, aHeartbeat.instance);
   return others;
 }
 
-/// Safeguard: heartbeats at an address may be ones of a process that ran there
-/// before the present one and was never heard: they were all held up. Taken for
-/// a successor's, they would end the present one while it serves, and its keys
-/// would have two owners. A later life proves that the present one is over.
-/// Where lives are not told, nothing in a heartbeat does, and only the end of
-/// its hold is certain.
+/// Heartbeats from an address may be delayed ones of a process that ran there
+/// before the current one and never reached the leader. If the leader took that
+/// process for a successor, it would end the current one while it still serves,
+/// and its keys would have two owners. A later incarnation number proves that
+/// the current process has ended. Without incarnation numbers no heartbeat
+/// proves it, and only the end of the lease is certain.
 bool
-RangeAssigner::IsOver(const wire::UpstreamInstance& aOld,
-                      const Heartbeat& aOther,
-                      Instant aNow) const
+RangeAssigner::IsSafeToEnd(const wire::UpstreamInstance& aOld,
+                           const Heartbeat& aOther,
+                           Instant aNow) const
 {
   if (aOld.life() > 0 && aOther.life > 0) {
     return aOther.life > aOld.life();
   }
-  const auto lease = mLeases.find(aOld.id());
-  return lease == mLeases.end() || aNow >= lease->second.ends;
+  const auto status = mStatuses.find(aOld.id());
+  return status == mStatuses.end() || aNow >= status->second.leaseEnd;
 }
 
 void
-RangeAssigner::FreeAll(const std::string& aId,
-                       const State& aState,
-                       std::vector<wire::GatewayCommand>& aCommands)
+RangeAssigner::FreeAllKeys(const std::string& aId,
+                           const State& aState,
+                           std::vector<wire::GatewayCommand>& aCommands)
 {
   for (const auto& [service, ranges] : aState.AllRanges()) {
     wire::FreeRanges free;
     free.set_service(service);
     free.set_holder(aId);
-    for (const uint32_t key : IndexOf(service, ranges).HeldBy(aId)) {
+    for (const uint32_t key : IndexOf(service, ranges).OwnedBy(aId)) {
       AddRange(free, SpanOf(ranges.Find(key)), "");
     }
     if (free.ranges_size() > 0) {
@@ -176,23 +182,23 @@
 }
 
 void
-RangeAssigner::NoteReleased(const Heartbeat& aHeartbeat,
-                            const State& aState,
-                            std::vector<wire::GatewayCommand>& aCommands)
+RangeAssigner::FreeReleasedKeys(const Heartbeat& aHeartbeat,
+                                const State& aState,
+                                std::vector<wire::GatewayCommand>& aCommands)
 {
   const RangeTable* ranges = aState.Ranges(aHeartbeat.service);
   if (ranges == nullptr || aHeartbeat.released.empty()) {
     return;
   }
-  const HolderIndex& index = IndexOf(aHeartbeat.service, *ranges);
+  const OwnerIndex& index = IndexOf(aHeartbeat.service, *ranges);
   wire::FreeRanges free;
   free.set_service(aHeartbeat.service);
   free.set_holder(aHeartbeat.instance);
   for (const ReleasedRange& released : aHeartbeat.released) {
-    for (const uint32_t key : index.HeldBy(aHeartbeat.instance)) {
+    for (const uint32_t key : index.OwnedBy(aHeartbeat.instance)) {
       const wire::RangeSegment& segment = ranges->Find(key);
-      // A release in a heartbeat that was sent before the grant speaks of an
-      // earlier hold of these keys.
+      // A heartbeat that was sent before the grant reports the release of an
+      // earlier lease on these keys.
       const bool current = segment.sequence() < aHeartbeat.sequence;
       const auto common = Intersect(SpanOf(segment), released.keys);
       if (current && common) {
@@ -205,68 +211,71 @@
   }
 }
 
-/// A lease is looked at when its hold was to end as it was last looked at, so
-/// that renewals cost nothing here.
+/// Each lease is checked at the end time that it had at the previous check, so
+/// a renewal doesn't reschedule the check.
 void
-RangeAssigner::FreeExpired(const State& aState,
-                           Instant aNow,
-                           std::vector<wire::GatewayCommand>& aCommands)
+RangeAssigner::FreeExpiredLeases(const State& aState,
+                                 Instant aNow,
+                                 std::vector<wire::GatewayCommand>& aCommands)
 {
-  while (!mWatched.empty() && mWatched.begin()->first <= aNow) {
-    const std::string id = mWatched.begin()->second;
-    Lease& lease = mLeases[id];
+  while (!mLeaseChecks.empty() && mLeaseChecks.begin()->first <= aNow) {
+    const std::string id = mLeaseChecks.begin()->second;
+    InstanceStatus& status = mStatuses[id];
     ++mVisits;
     if (!HoldsKeys(id, aState)) {
-      lease.expiring = false;
-      lease.freedAt.reset();
-      Watch(id, lease, aNow + kIdleWatch);
-    } else if (aNow >= lease.ends) {
-      // Until the commands are applied nothing of it may be renewed.
-      lease.expiring = true;
-      if (!lease.freedAt || aNow - *lease.freedAt >= kFreedFor) {
-        lease.freedAt = aNow;
-        FreeAll(id, aState, aCommands);
+      status.freeingKeys = false;
+      status.freeProposedAt.reset();
+      ScheduleLeaseCheck(id, status, aNow + kIdleCheckInterval);
+    } else if (aNow >= status.leaseEnd) {
+      // The lease must not be renewed until the commands are applied.
+      status.freeingKeys = true;
+      if (!status.freeProposedAt ||
+          aNow - *status.freeProposedAt >= kFreeRetryInterval) {
+        status.freeProposedAt = aNow;
+        FreeAllKeys(id, aState, aCommands);
       }
-      Watch(id, lease, aNow + kTick);
+      ScheduleLeaseCheck(id, status, aNow + kTick);
     } else {
-      Watch(id, lease, lease.ends);
+      ScheduleLeaseCheck(id, status, status.leaseEnd);
     }
   }
 }
 
 void
-RangeAssigner::Forget(const State& aState,
-                      Instant aNow,
-                      std::vector<wire::GatewayCommand>& aCommands)
+RangeAssigner::RemoveSilentInstances(
+  const State& aState,
+  Instant aNow,
+  std::vector<wire::GatewayCommand>& aCommands)
 {
   const size_t most =
-    std::max(mLeases.size() / kForgetParts + 1, kLeastForgotten);
-  auto at = mLeases.upper_bound(mForgottenUpTo);
-  for (size_t looked = 0; looked < std::min(most, mLeases.size()); ++looked) {
-    if (at == mLeases.end()) {
-      at = mLeases.begin();
+    std::max(mStatuses.size() / kRemovalTicks + 1, kMinRemovalBatch);
+  auto at = mStatuses.upper_bound(mRemovalCursor);
+  for (size_t visited = 0; visited < std::min(most, mStatuses.size());
+       ++visited) {
+    if (at == mStatuses.end()) {
+      at = mStatuses.begin();
     }
     ++mVisits;
     const std::string& id = at->first;
-    Lease& lease = at->second;
+    InstanceStatus& status = at->second;
     const wire::UpstreamInstance* known = aState.FindInstance(id);
-    if (known != nullptr && !lease.lastHeartbeat) {
-      lease.lastHeartbeat = aNow;
+    if (known != nullptr && !status.lastHeartbeatAt) {
+      status.lastHeartbeatAt = aNow;
     }
-    const bool silent = !lease.lastHeartbeat ||
-                        aNow - *lease.lastHeartbeat >= mOptions.forgetAfter;
+    const bool silent = !status.lastHeartbeatAt ||
+                        aNow - *status.lastHeartbeatAt >= mOptions.removeAfter;
     if (known != nullptr && silent) {
       wire::EndInstance* end = aCommands.emplace_back().mutable_end_instance();
       end->set_id(id);
       end->set_life(known->life());
       end->set_forgotten(true);
     }
-    mForgottenUpTo = id;
+    mRemovalCursor = id;
     const bool forgotten = known == nullptr && silent;
-    if ((forgotten || aState.HasEnded(id, lease.life)) &&
+    if ((forgotten || aState.HasEnded(id, status.incarnation)) &&
         !HoldsKeys(id, aState)) {
-      Unwatch(id, lease);
-      at = mLeases.erase(at);
+      CancelLeaseCheck(id, status);
+      at = mStatuses.erase(at);
     } else {
       ++at;
     }
--- a/src/librattandyke/gateway/range_assigner_loads.cpp
+++ b/src/librattandyke/gateway/range_assigner_loads.cpp
@@ -1,4 +1,4 @@
-// What the holders of a service's keys have, and how fast they are.
+// Loads and speeds of the instances that hold a service's keys.
 #include "gateway/range_assigner.h"
 
 #include <algorithm>
@@ -10,143 +10,150 @@
 
 namespace {
 
-/// Speeds are taken as no further from the average than this.
-constexpr double kLeastSpeed = 0.25;
-constexpr double kMostSpeed = 2.0;
-/// Weight of the newest report of an instance's time. A report is an average of
-/// some seven answers, and comes up to five times a second: taken as it is, it
-/// makes a speed look 30% higher or lower by chance, and shares move with it.
-constexpr double kNewestTime = 0.06;
-/// What is usual for a service counts as so many reports beside an instance's
-/// own: after a second, its own count more.
-constexpr double kUsualReports = 4;
-/// Assumed while no instance of the service has answered yet.
-constexpr double kDefaultSeconds = 0.1;
-/// A cold instance takes so many times as long, and is given less for it.
-constexpr double kColdSlower = 2;
-/// For how long sums stand, for each instance that is looked at for them.
-constexpr std::chrono::microseconds kSumsStand{ 20 };
+/// Bounds of a speed, relative to the mean speed of the service.
+constexpr double kMinSpeed = 0.25;
+constexpr double kMaxSpeed = 2.0;
+/// Least weight of the newest report in an instance's mean response time. A
+/// report is a mean of about seven responses, and comes up to five times a
+/// second. Taken alone, it makes a speed look up to 30% higher or lower by
+/// chance, and shares of keys would change with it.
+constexpr double kMinReportWeight = 0.06;
+/// The service's mean response time counts as this many reports beside an
+/// instance's own. After a second, the instance's own reports outweigh it.
+constexpr double kPriorReports = 4;
+/// Response time that is assumed until an instance of the service has reported
+/// one.
+constexpr double kDefaultLatencySeconds = 0.1;
+/// Factor by which the response times of a cold instance are assumed to be
+/// longer, so that it gets fewer keys.
+constexpr double kColdLatencyFactor = 2;
+/// Time for which computed loads stay valid, per instance in the state.
+constexpr std::chrono::microseconds kLoadsValidPerInstance{ 20 };
 
 } // namespace
 
-/// Safeguard: summing up takes a pass over all instances and segments. While a
-/// fleet of thousands registers or moves its keys, each heartbeat finds another
-/// state than the one before. Summed up for each, they keep a leader busy until
-/// it is deposed, and its successors after it, and no keys are granted. So the
-/// sums of a large service stand for a few milliseconds; those of a small one
-/// are of each state.
-const RangeAssigner::Holders&
-RangeAssigner::HoldersOf(const std::string& aService,
-                         const State& aState,
-                         Instant aNow)
+/// Computing the loads takes a pass over all instances and segments. While a
+/// fleet of thousands registers or moves its keys, each heartbeat finds a
+/// different state. If the loads were computed for each heartbeat, the leader
+/// would be so busy that it is deposed, its successors too, and no keys would
+/// be granted. So the loads of a large service are reused for a few
+/// milliseconds; those of a small service are computed for each state.
+const RangeAssigner::OwnerLoads&
+RangeAssigner::OwnerLoadsOf(const std::string& aService,
+                            const State& aState,
+                            Instant aNow)
 {
-  Group& group = mGroups[aService];
-  const bool other = group.holdersStale || group.holdersAt != aState.Applied();
+  ServicePlan& plan = mPlans[aService];
+  const bool changed = plan.loadsStale || plan.loadsIndex != aState.Applied();
   const bool due =
-    !group.holdersAt ||
-    aNow - group.summedAt >=
-      kSumsStand * static_cast<int64_t>(aState.Instances().size());
-  if (other && due) {
-    group.holders = SumUpHolders(aService, aState, aNow);
-    group.speeds = 0;
-    for (const auto& [id, holder] : group.holders) {
-      group.speeds += holder.speed;
+    !plan.loadsIndex ||
+    aNow - plan.loadsComputedAt >=
+      kLoadsValidPerInstance * static_cast<int64_t>(aState.Instances().size());
+  if (changed && due) {
+    plan.ownerLoads = ComputeOwnerLoads(aService, aState, aNow);
+    plan.totalSpeed = 0;
+    for (const auto& [id, owner] : plan.ownerLoads) {
+      plan.totalSpeed += owner.speed;
     }
-    group.holdersAt = aState.Applied();
-    group.holdersStale = false;
-    group.summedAt = aNow;
-    ++mSums;
+    plan.loadsIndex = aState.Applied();
+    plan.loadsStale = false;
+    plan.loadsComputedAt = aNow;
+    ++mLoadComputations;
   }
-  return group.holders;
+  return plan.ownerLoads;
 }
 
-/// Safeguard: after a change of leader, or of an upstream, few answers have
-/// been reported, and one alone is off by its own length again. Taken for the
-/// speed, it makes a holder look too slow or too fast for its keys; they are
-/// moved for that, and their requests are refused meanwhile. So a time counts
-/// as much as there are reports of it, beside what is usual for the service.
-RangeAssigner::Holders
+/// After a change of leader or of an upstream, few response times have been
+/// reported, and a single one may be off by its own length. If the speed were
+/// derived from it alone, an owner would look too slow or too fast for its
+/// keys; keys would be moved, and their requests refused during the move. So
+/// the weight of an instance's mean grows with its number of reports, and the
+/// service's mean has the rest of the weight.
+RangeAssigner::OwnerLoads
 RangeAssigner::SpeedsOf(const std::string& aService,
                         const State& aState,
                         Instant aNow) const
 {
-  Holders holders;
-  std::vector<std::pair<Holder*, const Lease*>> timed;
+  OwnerLoads ownerLoads;
+  std::vector<std::pair<OwnerLoad*, const InstanceStatus*>> instances;
   std::vector<uint32_t> slots;
   double sum = 0;
-  size_t reporting = 0;
+  size_t reportingInstances = 0;
   for (const auto& [id, instance] : aState.Instances()) {
     if (instance.service() != aService) {
       continue;
     }
-    const auto lease = mLeases.find(id);
-    if (lease == mLeases.end() ||
-        !IsActive(instance, lease->second, aState, aNow)) {
+    const auto status = mStatuses.find(id);
+    if (status == mStatuses.end() ||
+        !IsActive(instance, status->second, aState, aNow)) {
       continue;
     }
-    const auto added = holders.emplace_hint(holders.end(), id, Holder{});
-    timed.emplace_back(&added->second, &lease->second);
+    const auto added =
+      ownerLoads.emplace_hint(ownerLoads.end(), id, OwnerLoad{});
+    instances.emplace_back(&added->second, &status->second);
     slots.push_back(std::max(instance.slots(), 1U));
-    if (lease->second.answerReports > 0) {
-      sum += lease->second.answerSeconds;
-      ++reporting;
+    if (status->second.latencyReports > 0) {
+      sum += status->second.latencySeconds;
+      ++reportingInstances;
     }
   }
-  const double usual =
-    reporting == 0 ? kDefaultSeconds : sum / static_cast<double>(reporting);
-  double speeds = 0;
-  for (size_t at = 0; at < timed.size(); ++at) {
-    const auto& [holder, lease] = timed[at];
+  const double mean = reportingInstances == 0
+                        ? kDefaultLatencySeconds
+                        : sum / static_cast<double>(reportingInstances);
+  double totalSpeed = 0;
+  for (size_t at = 0; at < instances.size(); ++at) {
+    const auto& [owner, status] = instances[at];
     const double seconds =
-      (lease->answerSeconds * lease->answerReports + usual * kUsualReports) /
-      (lease->answerReports + kUsualReports);
-    const bool cold = aNow < lease->coldUntil;
-    holder->perRequest = (cold ? kColdSlower : 1) * seconds / slots[at];
-    holder->speed = 1 / holder->perRequest;
-    speeds += holder->speed;
+      (status->latencySeconds * status->latencyReports + mean * kPriorReports) /
+      (status->latencyReports + kPriorReports);
+    const bool cold = aNow < status->coldUntil;
+    owner->utilizationPerRequest =
+      (cold ? kColdLatencyFactor : 1) * seconds / slots[at];
+    owner->speed = 1 / owner->utilizationPerRequest;
+    totalSpeed += owner->speed;
   }
-  // Relative to the average, within bounds: a slow one still takes some load,
-  // or its speed would never be seen to change.
+  // Relative to the mean, and bounded: a slow instance must keep some load, or
+  // a change of its speed would not be noticed.
   const double average =
-    speeds / static_cast<double>(std::max<size_t>(holders.size(), 1));
-  for (auto& [id, holder] : holders) {
-    holder.speed = std::clamp(holder.speed / average, kLeastSpeed, kMostSpeed);
+    totalSpeed / static_cast<double>(std::max<size_t>(ownerLoads.size(), 1));
+  for (auto& [id, owner] : ownerLoads) {
+    owner.speed = std::clamp(owner.speed / average, kMinSpeed, kMaxSpeed);
   }
-  return holders;
+  return ownerLoads;
 }
 
-RangeAssigner::Holders
-RangeAssigner::SumUpHolders(const std::string& aService,
-                            const State& aState,
-                            Instant aNow)
+RangeAssigner::OwnerLoads
+RangeAssigner::ComputeOwnerLoads(const std::string& aService,
+                                 const State& aState,
+                                 Instant aNow)
 {
-  Holders holders = SpeedsOf(aService, aState, aNow);
+  OwnerLoads ownerLoads = SpeedsOf(aService, aState, aNow);
   const RangeTable* ranges = aState.Ranges(aService);
-  const auto group = mGroups.find(aService);
-  if (ranges == nullptr || group == mGroups.end()) {
-    return holders;
+  const auto plan = mPlans.find(aService);
+  if (ranges == nullptr || plan == mPlans.end()) {
+    return ownerLoads;
   }
   const auto add = [&](const std::string& aId, KeySpan aKeys) {
-    const auto found = holders.find(aId);
-    if (found == holders.end()) {
+    const auto found = ownerLoads.find(aId);
+    if (found == ownerLoads.end()) {
       return;
     }
-    found->second.load += group->second.load.LoadOf(aKeys);
-    found->second.busy +=
-      group->second.load.Rate(aKeys) * found->second.perRequest;
+    found->second.load += plan->second.load.LoadOf(aKeys);
+    found->second.utilization +=
+      plan->second.load.Rate(aKeys) * found->second.utilizationPerRequest;
   };
   for (const wire::RangeSegment& segment : ranges->Segments()) {
     if (!segment.held_back()) {
       add(segment.holder(), SpanOf(segment));
     }
   }
-  return holders;
+  return ownerLoads;
 }
 
 double
-RangeAssigner::EvenLevel(const Group& aGroup)
+RangeAssigner::BalancedLoad(const ServicePlan& aPlan)
 {
-  return aGroup.load.TotalLoad() / std::max(aGroup.speeds, kLeastSpeed);
+  return aPlan.load.TotalLoad() / std::max(aPlan.totalSpeed, kMinSpeed);
 }
 
 void
@@ -155,13 +162,13 @@
   if (aSeconds <= 0) {
     return;
   }
-  const auto lease = mLeases.find(aInstance);
-  if (lease == mLeases.end()) {
-    return; // Late reports tell of instances that have ended, too.
+  const auto status = mStatuses.find(aInstance);
+  if (status == mStatuses.end()) {
+    return; // A late report of an instance that has ended.
   }
-  double& reports = lease->second.answerReports;
-  double& seconds = lease->second.answerSeconds;
-  reports = std::min(reports + 1, 1 / kNewestTime);
+  double& reports = status->second.latencyReports;
+  double& seconds = status->second.latencySeconds;
+  reports = std::min(reports + 1, 1 / kMinReportWeight);
   seconds += (aSeconds - seconds) / reports;
 }
 
--- a/src/librattandyke/gateway/range_assigner_moves.cpp
+++ b/src/librattandyke/gateway/range_assigner_moves.cpp
@@ -1,4 +1,4 @@
-// Who gets free keys, and which keys a busy holder gives away.
+// Grants of free keys, and moves of keys away from overloaded instances.
 #include "gateway/range_assigner.h"
 
 #include <algorithm>
@@ -13,68 +13,76 @@
 
 using std::chrono::milliseconds;
 
-/// Times the heartbeat interval for which the first keys of a service wait for
-/// instances to announce themselves. All send one within an interval; without
-/// the wait the first of them would get all keys.
-constexpr double kGatherIntervals = 1.2;
+/// Number of heartbeat intervals for which the first grant of a service's keys
+/// waits for instances to register. All instances send a heartbeat within one
+/// interval; without the wait the first of them would get all keys.
+constexpr double kRegistrationIntervals = 1.2;
 
-/// Rows of one answer. A row takes up to 45 bytes as text, an answer at most
-/// 4 KiB.
-constexpr size_t kMaxRows = 64;
+/// Maximum number of ranges in one answer. A range takes up to 45 bytes of
+/// text, and an answer has at most 4 KiB.
+constexpr size_t kMaxRangesPerAnswer = 64;
 
-/// A piece of free keys is taken whole by an instance whose level it does not
-/// raise further above the even one than this.
-constexpr double kFits = 1.25;
-/// After this long it is cut for those that come, and later taken by anyone:
-/// keys without an owner are worse than keys with a busy one. Heartbeats of a
-/// service with a dozen instances come every 100 ms.
-constexpr Duration kChoosyTime = milliseconds{ 150 };
-constexpr Duration kUrgentTime = milliseconds{ 600 };
-/// An instance that has just given keys away does not take them back.
-constexpr Duration kNotTakenBack = milliseconds{ 1500 };
-/// Part of an even share that an instance gets then, however loaded it is.
-constexpr double kChoosyPart = 0.5;
-constexpr double kUrgentPart = 1.5;
+/// An instance takes a whole free range if its load then is at most this
+/// multiple of its balanced share.
+constexpr double kWholeRangeTolerance = 1.25;
+/// A free range that fits no instance is split after kSplitAfter among the
+/// instances that send heartbeats, and granted to any of them after
+/// kForceAfter: keys without an owner are worse than keys with an overloaded
+/// owner. With a dozen instances a service gets a heartbeat about every 100
+/// ms.
+constexpr Duration kSplitAfter = milliseconds{ 150 };
+constexpr Duration kForceAfter = milliseconds{ 600 };
+/// Time for which an instance takes no free keys after it released some.
+constexpr Duration kReacquireDelay = milliseconds{ 1500 };
+/// Least load that an instance takes when a range is split or forced on it,
+/// however loaded it is, as a fraction of its balanced share.
+constexpr double kSplitShare = 0.5;
+constexpr double kForcedShare = 1.5;
 
-/// An instance takes a little more than its share, so that the last pieces
-/// find a holder.
-constexpr double kQuotaSlack = 1.05;
-/// A holder gives keys away if so much of its slots is busy, and it has so much
-/// more than an even share. Below that, requests seldom wait, and each move
-/// leaves its keys without an owner for some 200 ms.
-constexpr double kBusy = 0.55;
-constexpr double kHotRatio = 1.25;
-/// Times the standard deviation of the number of requests counted for a holder
-/// by which it must be above an even share. With some twenty counted for each
-/// of a dozen holders, one in three is a quarter above it by chance; keys that
-/// are moved for that are moved back soon.
-constexpr double kSignificance = 2.0;
-/// Moves that one heartbeat of a holder may begin.
-constexpr size_t kMaxMoves = 5;
-/// Least part of an even share that is worth a move.
-constexpr double kLeastPiece = 0.15;
-/// A key that alone keeps its holder's slots busy for so much of the time can't
-/// be divided. It is moved if it is this part of the holder's load and finds an
-/// instance so much faster.
-constexpr double kOverrun = 0.95;
-constexpr double kDominant = 0.6;
-constexpr double kFaster = 1.4;
-/// Time for which it then stays: longer than most keys are so busy.
-constexpr Duration kStaysAlone = std::chrono::seconds{ 10 };
-/// Such keys are kept for that instance this long.
-constexpr Duration kMoveReserved = milliseconds{ 900 };
-/// A holder reports a release some 100 ms after it was told of it.
-constexpr milliseconds kReleaseTime{ 110 };
-/// Longest time for which such keys may be without an owner after that. A
-/// holder 1.4 times as fast makes up for it within a second.
-constexpr milliseconds kUnownedFor{ 250 };
-/// Time within which a grant is committed, or has failed.
-constexpr Duration kPlannedFor = milliseconds{ 300 };
+/// An instance takes slightly more than its balanced share, so that the last
+/// free ranges find an owner.
+constexpr double kShareTolerance = 1.05;
+/// Keys are moved away from an owner if it uses at least this fraction of its
+/// slots, and its relative load is at least this multiple of the balanced load.
+/// Below that, requests rarely wait, and each move leaves its keys without a
+/// owner for about 200 ms.
+constexpr double kMinUtilizationToMove = 0.55;
+constexpr double kMinLoadRatioToMove = 1.25;
+/// Number of standard deviations of its request count by which an owner's load
+/// must exceed its balanced share. With about 20 requests counted for each of a
+/// dozen owners, one in three exceeds the share by a quarter by chance, and
+/// keys that are moved for that are soon moved back.
+constexpr double kMinDeviationsToMove = 2.0;
+/// Maximum number of ranges that are revoked for one heartbeat.
+constexpr size_t kMaxMovesPerHeartbeat = 5;
+/// Least load that is worth a move, as a fraction of the owner's balanced
+/// share.
+constexpr double kMinMoveShare = 0.15;
+/// A hot key alone uses at least this fraction of its owner's slots, and can't
+/// be divided. It is moved if it makes up at least kHotKeyMinLoadShare of its
+/// owner's load and another instance is at least kHotKeyMinSpeedup times as
+/// fast.
+constexpr double kHotKeyUtilization = 0.95;
+constexpr double kHotKeyMinLoadShare = 0.6;
+constexpr double kHotKeyMinSpeedup = 1.4;
+/// Time for which a hot key is not moved again: longer than most keys stay hot.
+constexpr Duration kHotKeyMoveInterval = std::chrono::seconds{ 10 };
+/// Time for which a moved hot key is reserved for its target.
+constexpr Duration kReservationTime = milliseconds{ 900 };
+/// An owner reports a release about 100 ms after the answer that revoked the
+/// keys.
+constexpr milliseconds kReleaseLatency{ 110 };
+/// Maximum time for which a hot key may have no owner after its release. A
+/// target that is 1.4 times as fast makes up for that within a second.
+constexpr milliseconds kMaxUnownedTime{ 250 };
+/// Time after which a pending grant is either committed or has failed.
+constexpr Duration kPendingGrantTimeout = milliseconds{ 300 };
 
 } // namespace
 
-/// What the holder gives up is taken by the instances whose heartbeats come
-/// next: keys that wait for a certain instance's heartbeat have no owner.
+/// Revoked keys other than hot keys go to the instances whose heartbeats come
+/// next. If they were reserved for certain instances, they would have no owner
+/// until those instances send their heartbeats.
 void
 RangeAssigner::PlanMoves(const Heartbeat& aHeartbeat,
                          const State& aState,
@@ -83,75 +91,81 @@
 {
   const std::string& id = aHeartbeat.instance;
   const RangeTable* ranges = aState.Ranges(aHeartbeat.service);
-  const auto found = mGroups.find(aHeartbeat.service);
-  if (ranges == nullptr || found == mGroups.end()) {
+  const auto found = mPlans.find(aHeartbeat.service);
+  if (ranges == nullptr || found == mPlans.end()) {
     return;
   }
-  const Group& group = found->second;
-  // Nearly all holders are done here; the copy is for one that gives away.
-  const Holders& all = HoldersOf(aHeartbeat.service, aState, aNow);
-  const auto known = all.find(id);
-  if (known == all.end() || known->second.busy < kBusy) {
+  const ServicePlan& plan = found->second;
+  // Most heartbeats end here. The loads are copied only for an owner that gives
+  // up keys.
+  const OwnerLoads& loads = OwnerLoadsOf(aHeartbeat.service, aState, aNow);
+  const auto own = loads.find(id);
+  if (own == loads.end() || own->second.utilization < kMinUtilizationToMove) {
     return;
   }
-  const double even = EvenLevel(group);
-  const double excess = known->second.load - even * known->second.speed;
-  if (known->second.Level() < kHotRatio * even ||
-      excess < kSignificance * std::sqrt(known->second.load)) {
+  const double balancedLoad = BalancedLoad(plan);
+  const double excess = own->second.load - balancedLoad * own->second.speed;
+  if (own->second.RelativeLoad() < kMinLoadRatioToMove * balancedLoad ||
+      excess < kMinDeviationsToMove * std::sqrt(own->second.load)) {
     return;
   }
-  const auto& held = IndexOf(aHeartbeat.service, *ranges).HeldBy(id);
+  const auto& held = IndexOf(aHeartbeat.service, *ranges).OwnedBy(id);
   const bool releasing = std::any_of(held.begin(), held.end(), [&](auto aKey) {
     return ranges->Find(aKey).held_back();
   });
   if (releasing) {
     return;
   }
-  Holders holders = all;
-  Holder& hot = holders.at(id);
-  std::vector<KeySpan> given;
-  MoveKeyAlone(aHeartbeat, *ranges, holders, aNow, given);
-  // Safeguard: a slice is for whoever comes next. A key that alone is too much
-  // for one like most would be moved from one full holder to the next, without
-  // an owner each time, and would gain nothing.
-  std::vector<KeySpan> except =
-    KeysTooMuch(id, UsualTime(holders), *ranges, group);
-  except.insert(except.end(), given.begin(), given.end());
-  std::vector<Holder> cold;
-  for (const auto& [other, holder] : holders) {
-    if (other != id && holder.Level() < even) {
-      cold.push_back(holder);
+  OwnerLoads ownerLoads = loads;
+  OwnerLoad& source = ownerLoads.at(id);
+  std::vector<KeySpan> revoked;
+  MoveHotKey(aHeartbeat, *ranges, ownerLoads, aNow, revoked);
+  // These ranges are granted to any instance that sends a heartbeat. A key that
+  // is hot even for an average instance would be moved from one overloaded
+  // owner to the next, without an owner in between, and gain nothing.
+  std::vector<KeySpan> excluded =
+    HotKeys(id, MeanUtilizationPerRequest(ownerLoads), *ranges, plan);
+  excluded.insert(excluded.end(), revoked.begin(), revoked.end());
+  std::vector<OwnerLoad> targets;
+  for (const auto& [other, owner] : ownerLoads) {
+    if (other != id && owner.RelativeLoad() < balancedLoad) {
+      targets.push_back(owner);
     }
   }
-  std::sort(cold.begin(), cold.end(), [](const auto& aOne, const auto& aOther) {
-    return aOne.Level() < aOther.Level();
-  });
-  for (const Holder& taker : cold) {
-    // As much as brings one of the two to the even level.
-    const double wanted =
-      std::min(hot.load - even * hot.speed, even * taker.speed - taker.load);
-    if (given.size() >= kMaxMoves || wanted < kLeastPiece * even * hot.speed) {
+  std::sort(
+    targets.begin(), targets.end(), [](const auto& aOne, const auto& aOther) {
+      return aOne.RelativeLoad() < aOther.RelativeLoad();
+    });
+  for (const OwnerLoad& target : targets) {
+    // The load that brings one of the two to the balanced load.
+    const double targetLoad =
+      std::min(source.load - balancedLoad * source.speed,
+               balancedLoad * target.speed - target.load);
+    if (revoked.size() >= kMaxMovesPerHeartbeat ||
+        targetLoad < kMinMoveShare * balancedLoad * source.speed) {
       break;
     }
-    if (const auto slice = SliceOf(id, *ranges, group, except, wanted)) {
-      hot.load -= group.load.LoadOf(*slice);
-      given.push_back(*slice);
-      except.push_back(*slice);
+    if (const auto keys =
+          ChooseKeysToMove(id, *ranges, plan, excluded, targetLoad)) {
+      source.load -= plan.load.LoadOf(*keys);
+      revoked.push_back(*keys);
+      excluded.push_back(*keys);
     }
   }
-  HoldBack(aHeartbeat, given, aCommands);
+  AppendRevocation(aHeartbeat, revoked, aCommands);
 }
 
-/// Safeguard: nothing new may reach an evacuated data centre, and keys that are
-/// held there can be served nowhere else. They are released with the holder's
-/// next heartbeat, so that their next holders start with the handover. Where
-/// nobody can take them they stay: without an owner they would be refused, too,
-/// and moved in vain.
+/// No new requests may reach an evacuated data centre, and keys that are held
+/// there can't be served anywhere else. The owner releases them with its next
+/// heartbeat, so that the next owners start with the handover. The keys stay
+/// if no instance can take them: requests for keys without an owner would be
+/// refused as well, and the move would gain nothing.
 void
-RangeAssigner::GiveUpAll(const Heartbeat& aHeartbeat,
-                         const State& aState,
-                         Instant aNow,
-                         std::vector<wire::GatewayCommand>& aCommands) const
+RangeAssigner::RevokeEvacuated(
+  const Heartbeat& aHeartbeat,
+  const State& aState,
+  Instant aNow,
+  std::vector<wire::GatewayCommand>& aCommands) const
 {
   const RangeTable* ranges = aState.Ranges(aHeartbeat.service);
   const auto& instances = aState.Instances();
@@ -163,21 +177,21 @@
   if (ranges == nullptr || !taken) {
     return;
   }
-  std::vector<KeySpan> given;
+  std::vector<KeySpan> revoked;
   for (const wire::RangeSegment& segment : ranges->Segments()) {
     if (segment.holder() == aHeartbeat.instance && !segment.held_back()) {
-      given.push_back(SpanOf(segment));
+      revoked.push_back(SpanOf(segment));
     }
   }
-  HoldBack(aHeartbeat, given, aCommands);
+  AppendRevocation(aHeartbeat, revoked, aCommands);
 }
 
-/// The keys are left out of the instance's answers from then on, by the
-/// replicated state, so that a new leader goes on with it.
+/// From then on the instance's answers leave the revoked keys out. The mark is
+/// part of the replicated state, so a new leader continues the move.
 void
-RangeAssigner::HoldBack(const Heartbeat& aHeartbeat,
-                        const std::vector<KeySpan>& aSpans,
-                        std::vector<wire::GatewayCommand>& aCommands)
+RangeAssigner::AppendRevocation(const Heartbeat& aHeartbeat,
+                                const std::vector<KeySpan>& aSpans,
+                                std::vector<wire::GatewayCommand>& aCommands)
 {
   if (aSpans.empty()) {
     return;
@@ -194,139 +208,148 @@
 }
 
 double
-RangeAssigner::UsualTime(const Holders& aHolders)
+RangeAssigner::MeanUtilizationPerRequest(const OwnerLoads& aOwners)
 {
   double sum = 0;
-  for (const auto& [id, holder] : aHolders) {
-    sum += holder.perRequest;
+  for (const auto& [id, owner] : aOwners) {
+    sum += owner.utilizationPerRequest;
   }
-  return sum / static_cast<double>(std::max<size_t>(aHolders.size(), 1));
+  return sum / static_cast<double>(std::max<size_t>(aOwners.size(), 1));
 }
 
 std::vector<KeySpan>
-RangeAssigner::KeysTooMuch(const std::string& aId,
-                           double aPerRequest,
-                           const RangeTable& aRanges,
-                           const Group& aGroup)
+RangeAssigner::HotKeys(const std::string& aId,
+                       double aUtilizationPerRequest,
+                       const RangeTable& aRanges,
+                       const ServicePlan& aPlan)
 {
   std::vector<KeySpan> keys;
-  for (const uint32_t key : aGroup.index.HeldBy(aId)) {
+  for (const uint32_t key : aPlan.index.OwnedBy(aId)) {
     const wire::RangeSegment& segment = aRanges.Find(key);
     if (!segment.held_back()) {
-      const auto busy =
-        aGroup.load.FindHotKeys(SpanOf(segment), kOverrun / aPerRequest);
+      const auto busy = aPlan.load.FindHotKeys(
+        SpanOf(segment), kHotKeyUtilization / aUtilizationPerRequest);
       keys.insert(keys.end(), busy.begin(), busy.end());
     }
   }
   std::sort(keys.begin(), keys.end(), [&](KeySpan aOne, KeySpan aOther) {
-    return aGroup.load.LoadOf(aOne) < aGroup.load.LoadOf(aOther);
+    return aPlan.load.LoadOf(aOne) < aPlan.load.LoadOf(aOther);
   });
   return keys;
 }
 
-/// The fastest instance whose heartbeat is due when the key is released, and
-/// that has no such key: two of them would share what one can have.
-RangeAssigner::Holders::iterator
-RangeAssigner::TakerAlone(const std::string& aFrom,
-                          const RangeTable& aRanges,
-                          const Group& aGroup,
-                          Holders& aHolders,
-                          Instant aNow) const
+/// Selects the fastest instance whose heartbeat is due when the key is
+/// released, and that has no hot key: two hot keys would share the capacity
+/// that one of them can use.
+RangeAssigner::OwnerLoads::iterator
+RangeAssigner::FindHotKeyTarget(const std::string& aFrom,
+                                const RangeTable& aRanges,
+                                const ServicePlan& aPlan,
+                                OwnerLoads& aOwners,
+                                Instant aNow) const
 {
-  auto best = aHolders.end();
-  for (auto at = aHolders.begin(); at != aHolders.end(); ++at) {
-    const auto& [id, holder] = *at;
+  auto best = aOwners.end();
+  for (auto at = aOwners.begin(); at != aOwners.end(); ++at) {
+    const auto& [id, owner] = *at;
     const bool faster =
-      best == aHolders.end() || holder.speed > best->second.speed;
-    const bool awaits =
-      std::any_of(aGroup.moves.begin(),
-                  aGroup.moves.end(),
-                  [&](const Move& aMove) { return aMove.to == at->first; });
-    if (id != aFrom && faster && !awaits && TakesSoon(id, aNow) &&
-        KeysTooMuch(id, holder.perRequest, aRanges, aGroup).empty()) {
+      best == aOwners.end() || owner.speed > best->second.speed;
+    const bool hasReservation =
+      std::any_of(aPlan.reservations.begin(),
+                  aPlan.reservations.end(),
+                  [&](const Reservation& aReservation) {
+                    return aReservation.to == at->first;
+                  });
+    if (id != aFrom && faster && !hasReservation && IsHeartbeatDue(id, aNow) &&
+        HotKeys(id, owner.utilizationPerRequest, aRanges, aPlan).empty()) {
       best = at;
     }
   }
   return best;
 }
 
-/// A key that no upstream can carry gains little by a move, and has no owner
-/// meanwhile: it goes to an instance that is clearly faster, which then gives
-/// its other keys away, or away from another such key.
+/// A key that exceeds the capacity of any instance gains little by a move, and
+/// has no owner during the move. It moves only to a clearly faster instance,
+/// which then gives up its other keys, or away from another hot key.
 ///
-/// Safeguard: whoever holds it is full, and answers slower for that, so that
-/// others look faster wherever it is. Moved each time, it had no owner for 0.1
-/// to 0.9 s in every one or two; so it stays where it was moved.
+/// The owner of a hot key is overloaded and therefore responds more slowly, so
+/// other instances look faster wherever the key is. When hot keys were moved
+/// each time, such a key had no owner for 0.1 to 0.9 s out of every one or two
+/// seconds. So a hot key stays for kHotKeyMoveInterval after a move.
 void
-RangeAssigner::MoveKeyAlone(const Heartbeat& aHeartbeat,
-                            const RangeTable& aRanges,
-                            Holders& aHolders,
-                            Instant aNow,
-                            std::vector<KeySpan>& aGiven)
+RangeAssigner::MoveHotKey(const Heartbeat& aHeartbeat,
+                          const RangeTable& aRanges,
+                          OwnerLoads& aOwners,
+                          Instant aNow,
+                          std::vector<KeySpan>& aRevoked)
 {
-  Group& group = mGroups[aHeartbeat.service];
-  Holder& hot = aHolders.at(aHeartbeat.instance);
-  const std::vector<KeySpan> tooMuch =
-    KeysTooMuch(aHeartbeat.instance, hot.perRequest, aRanges, group);
+  ServicePlan& plan = mPlans[aHeartbeat.service];
+  OwnerLoad& source = aOwners.at(aHeartbeat.instance);
+  const std::vector<KeySpan> hotKeys =
+    HotKeys(aHeartbeat.instance, source.utilizationPerRequest, aRanges, plan);
   const auto key =
-    std::find_if(tooMuch.begin(), tooMuch.end(), [&](KeySpan aKeys) {
-      return !group.movedAlone.contains(aKeys.from);
+    std::find_if(hotKeys.begin(), hotKeys.end(), [&](KeySpan aKeys) {
+      return !plan.hotKeyMoves.contains(aKeys.from);
     });
-  if (key == tooMuch.end()) {
+  if (key == hotKeys.end()) {
     return;
   }
-  const auto taker =
-    TakerAlone(aHeartbeat.instance, aRanges, group, aHolders, aNow);
-  if (taker == aHolders.end()) {
+  const auto target =
+    FindHotKeyTarget(aHeartbeat.instance, aRanges, plan, aOwners, aNow);
+  if (target == aOwners.end()) {
     return;
   }
-  const double load = group.load.LoadOf(*key);
-  const double faster = taker->second.speed / hot.speed;
-  const bool gains = tooMuch.size() > 1
-                       ? faster * static_cast<double>(tooMuch.size()) > 1
-                       : faster > kFaster && load >= kDominant * hot.load;
-  if (gains) {
-    hot.load -= load;
-    taker->second.load += load;
-    group.moves.push_back(Move{ taker->first, *key, aNow });
-    group.movedAlone[key->from] = aNow;
-    aGiven.push_back(*key);
+  const double load = plan.load.LoadOf(*key);
+  const double speedup = target->second.speed / source.speed;
+  const bool worthwhile = hotKeys.size() > 1
+                            ? speedup * static_cast<double>(hotKeys.size()) > 1
+                            : speedup > kHotKeyMinSpeedup &&
+                                load >= kHotKeyMinLoadShare * source.load;
+  if (worthwhile) {
+    source.load -= load;
+    target->second.load += load;
+    plan.reservations.push_back(Reservation{ target->first, *key, aNow });
+    plan.hotKeyMoves[key->from] = aNow;
+    aRevoked.push_back(*key);
   }
 }
 
-/// Safeguard: keys that wait for one instance's heartbeat have no owner, and
-/// the busiest key of a service loses by that what a faster owner would gain in
-/// seconds. So such keys go only to an instance whose heartbeat is due about
-/// when they are released, with the time for which its answer may be held.
+/// Reserved keys have no owner until their target sends a heartbeat, and the
+/// busiest key of a service loses more by a long wait than a faster owner
+/// makes up for within seconds. So a hot key moves only to an instance whose
+/// heartbeat is due about when the key is released. The time for which an
+/// answer may be delayed is taken into account.
 bool
-RangeAssigner::TakesSoon(const std::string& aInstance, Instant aNow) const
+RangeAssigner::IsHeartbeatDue(const std::string& aInstance, Instant aNow) const
 {
-  const auto lease = mLeases.find(aInstance);
-  if (lease == mLeases.end() || !lease->second.lastHeartbeat) {
+  const auto status = mStatuses.find(aInstance);
+  if (status == mStatuses.end() || !status->second.lastHeartbeatAt) {
     return false;
   }
   const Duration due =
-    *lease->second.lastHeartbeat + mOptions.heartbeatInterval - aNow;
-  return due <= Duration(kReleaseTime) + Duration(kUnownedFor);
+    *status->second.lastHeartbeatAt + mOptions.heartbeatInterval - aNow;
+  return due <= Duration(kReleaseLatency) + Duration(kMaxUnownedTime);
 }
 
 void
-RangeAssigner::EndReservations(Group& aGroup, Instant aNow)
+RangeAssigner::ExpireReservations(ServicePlan& aPlan, Instant aNow)
 {
-  std::erase_if(aGroup.moves, [&](const Move& aMove) {
-    return aNow - aMove.startedAt >= kMoveReserved;
+  std::erase_if(aPlan.reservations, [&](const Reservation& aReservation) {
+    return aNow - aReservation.createdAt >= kReservationTime;
   });
-  std::erase_if(aGroup.movedAlone, [&](const auto& aKey) {
-    return aNow - aKey.second >= kStaysAlone;
+  std::erase_if(aPlan.hotKeyMoves, [&](const auto& aKey) {
+    return aNow - aKey.second >= kHotKeyMoveInterval;
   });
 }
 
-const RangeAssigner::Move*
-RangeAssigner::MoveOf(const Group& aGroup, KeySpan aKeys, Instant aNow)
+const RangeAssigner::Reservation*
+RangeAssigner::FindReservation(const ServicePlan& aPlan,
+                               KeySpan aKeys,
+                               Instant aNow)
 {
-  for (const Move& move : aGroup.moves) {
-    if (aNow - move.startedAt < kMoveReserved && Intersect(aKeys, move.keys)) {
-      return &move;
+  for (const Reservation& reservation : aPlan.reservations) {
+    if (aNow - reservation.createdAt < kReservationTime &&
+        Intersect(aKeys, reservation.keys)) {
+      return &reservation;
     }
   }
   return nullptr;
@@ -338,93 +361,97 @@
                                  Instant aNow)
 {
   const RangeTable* ranges = aState.Ranges(aHeartbeat.service);
-  const auto group = mGroups.find(aHeartbeat.service);
-  if (ranges == nullptr || group == mGroups.end()) {
+  const auto plan = mPlans.find(aHeartbeat.service);
+  if (ranges == nullptr || plan == mPlans.end()) {
     return false;
   }
   bool released = false;
-  for (const uint32_t key : IndexOf(aHeartbeat.service, *ranges).HeldBack()) {
+  for (const uint32_t key : IndexOf(aHeartbeat.service, *ranges).Revoked()) {
     const wire::RangeSegment& segment = ranges->Find(key);
     ++mVisits;
     if (segment.holder() == aHeartbeat.instance) {
       continue;
     }
-    const Move* move = MoveOf(group->second, SpanOf(segment), aNow);
-    if (move != nullptr && move->to == aHeartbeat.instance) {
+    const Reservation* reservation =
+      FindReservation(plan->second, SpanOf(segment), aNow);
+    if (reservation != nullptr && reservation->to == aHeartbeat.instance) {
       return true;
     }
-    released |= move == nullptr;
+    released |= reservation == nullptr;
   }
   if (!released) {
     return false;
   }
-  const Holders& holders = HoldersOf(aHeartbeat.service, aState, aNow);
-  const auto own = holders.find(aHeartbeat.instance);
-  return own != holders.end() && own->second.Level() < EvenLevel(group->second);
+  const OwnerLoads& ownerLoads = OwnerLoadsOf(aHeartbeat.service, aState, aNow);
+  const auto own = ownerLoads.find(aHeartbeat.instance);
+  return own != ownerLoads.end() &&
+         own->second.RelativeLoad() < BalancedLoad(plan->second);
 }
 
 void
-RangeAssigner::UpdatePool(const std::string& aService,
-                          const State& aState,
-                          Instant aNow)
+RangeAssigner::UpdateFreeSince(const std::string& aService,
+                               const State& aState,
+                               Instant aNow)
 {
-  Group& group = mGroups[aService];
+  ServicePlan& plan = mPlans[aService];
   const RangeTable* ranges = aState.Ranges(aService);
   const bool free =
     ranges == nullptr || !IndexOf(aService, *ranges).Free().empty();
   if (!free) {
-    group.freeSince.reset();
-  } else if (!group.freeSince) {
-    group.freeSince = aNow;
+    plan.freeSince.reset();
+  } else if (!plan.freeSince) {
+    plan.freeSince = aNow;
   }
 }
 
 std::optional<KeySpan>
-RangeAssigner::PieceFor(KeySpan aFree,
-                        const Group& aGroup,
-                        const Holder& aTaker,
-                        double aShare,
-                        Duration aAge,
-                        bool aFirst)
+RangeAssigner::ChooseFreeKeys(KeySpan aFree,
+                              const ServicePlan& aPlan,
+                              const OwnerLoad& aCandidate,
+                              double aShare,
+                              Duration aFreeFor,
+                              bool aFirstGrant)
 {
-  const double load = aGroup.load.LoadOf(aFree);
-  if (aTaker.load + load <= kFits * aShare) {
+  const double load = aPlan.load.LoadOf(aFree);
+  if (aCandidate.load + load <= kWholeRangeTolerance * aShare) {
     return aFree;
   }
-  if (aFirst) {
-    const double room = aShare * kQuotaSlack - aTaker.load;
-    return room > 0 ? std::optional(aGroup.load.PrefixWithin(aFree, room))
+  if (aFirstGrant) {
+    const double room = aShare * kShareTolerance - aCandidate.load;
+    return room > 0 ? std::optional(aPlan.load.PrefixWithin(aFree, room))
                     : std::nullopt;
   }
-  if (aAge < kChoosyTime) {
+  if (aFreeFor < kSplitAfter) {
     return std::nullopt;
   }
-  const double part = aAge < kUrgentTime ? kChoosyPart : kUrgentPart;
+  const double part = aFreeFor < kForceAfter ? kSplitShare : kForcedShare;
   const double room =
-    std::max(aShare * kQuotaSlack - aTaker.load, aShare * part);
-  return aGroup.load.PrefixWithin(aFree, room);
+    std::max(aShare * kShareTolerance - aCandidate.load, aShare * part);
+  return aPlan.load.PrefixWithin(aFree, room);
 }
 
-/// Safeguard: while one grant is committed, the heartbeats of hundreds of other
-/// instances arrive. Given the same keys, all but one are refused, plan again
-/// and are refused again: one grant in each round of the log, and a fleet waits
-/// for its first keys for a minute. A grant that fails leaves its keys to
-/// others after a moment.
+/// While one grant is being committed, heartbeats of hundreds of other
+/// instances arrive. If they were granted the same keys, all grants but one
+/// would fail in each round of the log, and a fleet would wait a minute for its
+/// first keys. If a grant fails, its keys are available again after
+/// kPendingGrantTimeout.
 std::vector<KeySpan>
-RangeAssigner::NotPlanned(Group& aGroup, KeySpan aFree, Instant aNow)
+RangeAssigner::ExcludePendingGrants(ServicePlan& aPlan,
+                                    KeySpan aFree,
+                                    Instant aNow)
 {
-  while (!aGroup.plannedOrder.empty() &&
-         aNow - aGroup.plannedOrder.front().first >= kPlannedFor) {
-    aGroup.planned.erase(aGroup.plannedOrder.front().second);
-    aGroup.plannedOrder.pop_front();
+  while (!aPlan.pendingGrantOrder.empty() &&
+         aNow - aPlan.pendingGrantOrder.front().first >= kPendingGrantTimeout) {
+    aPlan.pendingGrants.erase(aPlan.pendingGrantOrder.front().second);
+    aPlan.pendingGrantOrder.pop_front();
   }
   std::vector<KeySpan> rest;
   uint32_t from = aFree.from;
-  auto at = aGroup.planned.upper_bound(from);
-  if (at != aGroup.planned.begin() && std::prev(at)->second >= from) {
+  auto at = aPlan.pendingGrants.upper_bound(from);
+  if (at != aPlan.pendingGrants.begin() && std::prev(at)->second >= from) {
     --at;
   }
-  for (; at != aGroup.planned.end() && at->first <= aFree.to; ++at) {
+  for (; at != aPlan.pendingGrants.end() && at->first <= aFree.to; ++at) {
     if (at->first > from) {
       rest.push_back({ from, at->first - 1 });
     }
@@ -437,10 +464,10 @@
 }
 
 void
-RangeAssigner::NotePlanned(Group& aGroup, KeySpan aKeys, Instant aNow)
+RangeAssigner::AddPendingGrant(ServicePlan& aPlan, KeySpan aKeys, Instant aNow)
 {
-  aGroup.planned[aKeys.from] = aKeys.to;
-  aGroup.plannedOrder.emplace_back(aNow, aKeys.from);
+  aPlan.pendingGrants[aKeys.from] = aKeys.to;
+  aPlan.pendingGrantOrder.emplace_back(aNow, aKeys.from);
 }
 
 std::optional<wire::GatewayCommand>
@@ -455,35 +482,38 @@
       !IsActive(*instance, aState, aNow)) {
     return std::nullopt;
   }
-  UpdatePool(instance->service(), aState, aNow);
-  Group& group = mGroups[instance->service()];
-  if (!group.firstInstance) {
-    group.firstInstance = aNow;
+  UpdateFreeSince(instance->service(), aState, aNow);
+  ServicePlan& plan = mPlans[instance->service()];
+  if (!plan.firstCandidateAt) {
+    plan.firstCandidateAt = aNow;
   }
-  static const RangeTable sUntouched;
+  static const RangeTable sNeverGranted;
   const RangeTable* granted = aState.Ranges(instance->service());
-  const RangeTable& ranges = granted == nullptr ? sUntouched : *granted;
-  if (!group.freeSince) {
+  const RangeTable& ranges = granted == nullptr ? sNeverGranted : *granted;
+  if (!plan.freeSince) {
     return std::nullopt;
   }
-  const bool first = ranges.IsUntouched();
-  if (first && aNow - *group.firstInstance <
-                 Scaled(mOptions.heartbeatInterval, kGatherIntervals)) {
-    group.freeSince = aNow;
+  const bool firstGrant = ranges.WasNeverGranted();
+  if (firstGrant &&
+      aNow - *plan.firstCandidateAt <
+        Scaled(mOptions.heartbeatInterval, kRegistrationIntervals)) {
+    plan.freeSince = aNow;
     return std::nullopt;
   }
-  const Holders& holders = HoldersOf(instance->service(), aState, aNow);
-  // One that has just come is not among the holders yet, and holds nothing.
-  const auto known = holders.find(id);
-  Holder taker = known == holders.end() ? Holder{} : known->second;
-  const double share = EvenLevel(group) * taker.speed;
-  const Duration age = aNow - *group.freeSince;
-  const std::optional<Instant>& released = mLeases[id].releasedAt;
-  if (released && age < kUrgentTime && aNow - *released < kNotTakenBack) {
+  const OwnerLoads& ownerLoads =
+    OwnerLoadsOf(instance->service(), aState, aNow);
+  // A new instance is not among the owners yet, and holds nothing.
+  const auto own = ownerLoads.find(id);
+  OwnerLoad candidate = own == ownerLoads.end() ? OwnerLoad{} : own->second;
+  const double share = BalancedLoad(plan) * candidate.speed;
+  const Duration freeFor = aNow - *plan.freeSince;
+  const std::optional<Instant>& releasedAt = mStatuses[id].releasedAt;
+  if (releasedAt && freeFor < kForceAfter &&
+      aNow - *releasedAt < kReacquireDelay) {
     return std::nullopt;
   }
-  const HolderIndex& index = IndexOf(instance->service(), ranges);
-  size_t rows = index.HeldBy(id).size();
+  const OwnerIndex& index = IndexOf(instance->service(), ranges);
+  size_t rangeCount = index.OwnedBy(id).size();
   wire::GatewayCommand command;
   wire::GrantRanges* grant = command.mutable_grant_ranges();
   grant->set_service(instance->service());
@@ -493,55 +523,57 @@
   for (const uint32_t key : index.Free()) {
     const wire::RangeSegment& segment = ranges.Find(key);
     ++mVisits;
-    if (rows >= kMaxRows) {
+    if (rangeCount >= kMaxRangesPerAnswer) {
       break;
     }
-    for (KeySpan keys : NotPlanned(group, SpanOf(segment), aNow)) {
-      const Move* move = MoveOf(group, keys, aNow);
-      const bool forOther = move != nullptr && move->to != id;
-      if (forOther || rows >= kMaxRows) {
+    for (KeySpan keys : ExcludePendingGrants(plan, SpanOf(segment), aNow)) {
+      const Reservation* reservation = FindReservation(plan, keys, aNow);
+      const bool forOther = reservation != nullptr && reservation->to != id;
+      if (forOther || rangeCount >= kMaxRangesPerAnswer) {
         continue;
       }
-      if (move == nullptr) {
-        const auto piece = PieceFor(keys, group, taker, share, age, first);
-        if (!piece) {
+      if (reservation == nullptr) {
+        const auto part =
+          ChooseFreeKeys(keys, plan, candidate, share, freeFor, firstGrant);
+        if (!part) {
           continue;
         }
-        keys = *piece;
+        keys = *part;
       }
-      taker.load += group.load.LoadOf(keys);
-      NotePlanned(group, keys, aNow);
+      candidate.load += plan.load.LoadOf(keys);
+      AddPendingGrant(plan, keys, aNow);
       wire::KeyRange* range = grant->add_ranges();
       range->set_from(keys.from);
       range->set_to(keys.to);
       range->set_handover(segment.handover());
-      ++rows;
+      ++rangeCount;
     }
   }
   if (grant->ranges_size() == 0) {
     return std::nullopt;
   }
-  // It may be committed and never renewed: then its end is looked at, too.
-  if (Lease& lease = mLeases[id]; !lease.watchedAt) {
-    Watch(id, lease, aNow + kIdleWatch);
+  // The grant may be committed without a renewal of the lease. Its expiry is
+  // checked in this case, too.
+  if (InstanceStatus& status = mStatuses[id]; !status.leaseCheckAt) {
+    ScheduleLeaseCheck(id, status, aNow + kIdleCheckInterval);
   }
   return command;
 }
 
 std::optional<KeySpan>
-RangeAssigner::SliceOf(const std::string& aHolder,
-                       const RangeTable& aRanges,
-                       const Group& aGroup,
-                       const std::vector<KeySpan>& aExcept,
-                       double aWanted)
+RangeAssigner::ChooseKeysToMove(const std::string& aOwner,
+                                const RangeTable& aRanges,
+                                const ServicePlan& aPlan,
+                                const std::vector<KeySpan>& aExcluded,
+                                double aTargetLoad)
 {
   std::optional<KeySpan> best;
-  const KeyLoadMap& load = aGroup.load;
-  for (const uint32_t key : aGroup.index.HeldBy(aHolder)) {
-    for (const KeySpan& keys : Subtract(SpanOf(aRanges.Find(key)), aExcept)) {
-      const auto slice = load.FindHotRun(keys, aWanted);
-      if (slice && (!best || load.LoadOf(*slice) > load.LoadOf(*best))) {
-        best = slice;
+  const KeyLoadMap& load = aPlan.load;
+  for (const uint32_t key : aPlan.index.OwnedBy(aOwner)) {
+    for (const KeySpan& keys : Subtract(SpanOf(aRanges.Find(key)), aExcluded)) {
+      const auto run = load.FindHotRun(keys, aTargetLoad);
+      if (run && (!best || load.LoadOf(*run) > load.LoadOf(*best))) {
+        best = run;
       }
     }
   }
@@ -551,7 +583,7 @@
 void
 RangeAssigner::AddLoad(const wire::RangeLoad& aLoad)
 {
-  mGroups[aLoad.service()].load.Add(aLoad);
+  mPlans[aLoad.service()].load.Add(aLoad);
 }
 
 } // namespace rattandyke::gateway
--- a/src/librattandyke/gateway/range_assigner_moves_test.cpp
+++ b/src/librattandyke/gateway/range_assigner_moves_test.cpp
@@ -13,27 +13,28 @@
 using std::chrono::milliseconds;
 
 uint32_t
-FirstKeyOf(const SimulatedLeader& aLeader, const std::string& aHolder)
+FirstKeyOf(const SimulatedLeader& aLeader, const std::string& aOwner)
 {
   const RangeTable& ranges = *aLeader.state.Ranges("board");
   uint32_t first = 0;
-  while (ranges.Find(first).holder() != aHolder) {
+  while (ranges.Find(first).holder() != aOwner) {
     first = ranges.Find(first).to() + 1;
   }
   return first;
 }
 
-/// The first keys of some holders get far more requests than they can run.
+/// Reports far more requests for the first keys of some owners than the owners
+/// can process.
 void
-MakeBusy(SimulatedLeader& aLeader,
-         uint32_t aKeys,
-         const std::vector<std::string>& aHolders = { "a" })
+OverloadFirstKeys(SimulatedLeader& aLeader,
+                  uint32_t aKeys,
+                  const std::vector<std::string>& aOwners = { "a" })
 {
   for (int tick = 0; tick < 20; ++tick) {
     wire::RangeLoad load;
     load.set_service("board");
-    for (const std::string& holder : aHolders) {
-      const uint32_t first = FirstKeyOf(aLeader, holder);
+    for (const std::string& owner : aOwners) {
+      const uint32_t first = FirstKeyOf(aLeader, owner);
       for (uint32_t key = first; key < first + aKeys; ++key) {
         load.add_buckets(key / kKeysPerBucket);
         load.add_requests(4);
@@ -45,7 +46,7 @@
 }
 
 bool
-HoldsBack(const SimulatedLeader& aLeader)
+HasRevokedKeys(const SimulatedLeader& aLeader)
 {
   for (const auto& segment : aLeader.state.Ranges("board")->Segments()) {
     if (segment.held_back()) {
@@ -55,14 +56,15 @@
   return false;
 }
 
-/// Time passes under a load while both holders send their heartbeats.
-/// @param aLoad gives the requests of a report of 200 ms.
+/// Advances the clock under a load, while "a" and "b" send heartbeats.
+/// @param aReports number of load reports, one every 200 ms.
+/// @param aLoad    returns the load of one report.
 template<typename Load>
 void
-PassUnder(SimulatedLeader& aLeader,
-          int aReports,
-          uint64_t& aSequence,
-          Load aLoad)
+AdvanceUnderLoad(SimulatedLeader& aLeader,
+                 int aReports,
+                 uint64_t& aSequence,
+                 Load aLoad)
 {
   for (int report = 0; report < aReports; ++report) {
     wire::RangeLoad load = aLoad();
@@ -77,9 +79,12 @@
   }
 }
 
-/// Heartbeats of ten holders with even loads, which keep their slots busy.
+/// Advances the clock while ten owners with even loads send heartbeats. The
+/// load uses most of their slots.
 void
-PassEvenly(SimulatedLeader& aLeader, int aReports, uint64_t& aSequence)
+AdvanceUnderEvenLoad(SimulatedLeader& aLeader,
+                     int aReports,
+                     uint64_t& aSequence)
 {
   constexpr uint32_t kRequests = 24;
   for (int report = 0; report < aReports; ++report) {
@@ -102,110 +107,115 @@
 }
 
 void
-NoteTimes(SimulatedLeader& aLeader, const std::string& aHolder, double aSeconds)
+RecordLatencies(SimulatedLeader& aLeader,
+                const std::string& aOwner,
+                double aSeconds)
 {
   constexpr int kReports = 10;
   for (int report = 0; report < kReports; ++report) {
-    aLeader.rangeAssigner->RecordLatency(aHolder, aSeconds);
+    aLeader.rangeAssigner->RecordLatency(aOwner, aSeconds);
   }
 }
 
-/// Ten holders share all keys while nobody is busy; then a new leader comes.
+/// Assigns all keys to ten owners under an even load, and replaces the leader.
 void
-SettleEvenly(SimulatedLeader& aLeader, uint64_t& aSequence)
+AssignKeysToTen(SimulatedLeader& aLeader, uint64_t& aSequence)
 {
-  PassEvenly(aLeader, 10, aSequence);
+  AdvanceUnderEvenLoad(aLeader, 10, aSequence);
   aLeader.FailOver();
   for (char id = 'a'; id <= 'j'; ++id) {
-    NoteTimes(aLeader, std::string(1, id), 0.02);
+    RecordLatencies(aLeader, std::string(1, id), 0.02);
   }
-  PassEvenly(aLeader, 30, aSequence);
+  AdvanceUnderEvenLoad(aLeader, 30, aSequence);
   aLeader.FailOver();
 }
 
-// A new leader knows no times. The first answer that is reported of one holder
-// was a long one, of the others there are more reports; all have about the same
-// load. Callers see keys without an owner if that one is taken for slow and
-// gives its keys away; they must stay until more is known.
-TEST(RangeAssigner, OneLongAnswerDoesNotMakeAHolderSlow)
+// A new leader has no response times. The first report of one owner is high,
+// and the other owners have sent more reports; all have about the same load. If
+// the leader takes that owner for slow, it moves keys, and callers see keys
+// without an owner. The keys must stay until more reports have arrived.
+TEST(RangeAssigner, SingleLatencyReportAfterFailoverMovesNoKeys)
 {
   SimulatedLeader leader;
   uint64_t sequence = 0;
-  SettleEvenly(leader, sequence);
-  ASSERT_FALSE(HoldsBack(leader));
+  AssignKeysToTen(leader, sequence);
+  ASSERT_FALSE(HasRevokedKeys(leader));
   for (char id = 'b'; id <= 'j'; ++id) {
-    NoteTimes(leader, std::string(1, id), 0.1);
+    RecordLatencies(leader, std::string(1, id), 0.1);
   }
   leader.rangeAssigner->RecordLatency("a", 0.3);
-  PassEvenly(leader, 10, sequence);
-  EXPECT_FALSE(HoldsBack(leader));
+  AdvanceUnderEvenLoad(leader, 10, sequence);
+  EXPECT_FALSE(HasRevokedKeys(leader));
 }
 
-// That holder is slow indeed, as its next answers show: it gives keys away.
-TEST(RangeAssigner, ManyLongAnswersMakeAHolderSlow)
+// The same owner is slow, as its next reports show: it gives up keys.
+TEST(RangeAssigner, KeysMoveAwayFromSlowOwner)
 {
   SimulatedLeader leader;
   uint64_t sequence = 0;
-  SettleEvenly(leader, sequence);
-  ASSERT_FALSE(HoldsBack(leader));
+  AssignKeysToTen(leader, sequence);
+  ASSERT_FALSE(HasRevokedKeys(leader));
   for (char id = 'a'; id <= 'j'; ++id) {
-    NoteTimes(leader, std::string(1, id), id == 'a' ? 0.3 : 0.1);
+    RecordLatencies(leader, std::string(1, id), id == 'a' ? 0.3 : 0.1);
   }
-  PassEvenly(leader, 10, sequence);
-  EXPECT_TRUE(HoldsBack(leader));
+  AdvanceUnderEvenLoad(leader, 10, sequence);
+  EXPECT_TRUE(HasRevokedKeys(leader));
 }
 
-/// A service whose upstreams send heartbeats in turn, report what they were
-/// left out soon after, and answer as fast as they are. One of them grows
-/// slower while it is full.
-class BusyService
+/// A service whose upstreams send heartbeats in turn, report a release soon
+/// after the answer that revoked the keys, and have different response times.
+/// The owner of the hot key responds more slowly while it is overloaded.
+class SimulatedService
 {
 public:
   static constexpr uint32_t kHotKey = 22772;
-  /// Requests a second; all others are evenly spread.
+  /// Requests per second. Other requests are spread evenly over all keys.
   static constexpr double kHotRequests = 120;
   static constexpr double kOtherRequests = 60;
-  static constexpr milliseconds kStep{ 20 };
-  /// As a control host waits.
-  static constexpr milliseconds kKeysAwaited{ 350 };
-  /// A full upstream's answers take this much longer.
-  static constexpr double kFullSlower = 1.5;
-
-  /// @param aSeconds how long the answers of each upstream take.
-  explicit BusyService(std::vector<double> aSeconds, unsigned aSeed)
+  static constexpr milliseconds kTimeStep{ 20 };
+  /// As in a control host.
+  static constexpr milliseconds kMaxAnswerDelay{ 350 };
+  /// Factor on the response time of an overloaded upstream.
+  static constexpr double kOverloadLatencyFactor = 1.5;
+
+  /// @param aSeconds response time of each upstream.
+  explicit SimulatedService(std::vector<double> aSeconds, unsigned aSeed)
     : mRandom(aSeed)
   {
     for (size_t at = 0; at < aSeconds.size(); ++at) {
       Upstream upstream;
       upstream.id = std::string(1, static_cast<char>('a' + at));
-      upstream.seconds = aSeconds[at];
-      upstream.next = leader.now + kHeartbeatInterval * at / aSeconds.size();
+      upstream.latencySeconds = aSeconds[at];
+      upstream.nextHeartbeatAt =
+        leader.now + kHeartbeatInterval * at / aSeconds.size();
       mUpstreams.push_back(upstream);
     }
   }
 
-  /// @param aHot keys that are busy meanwhile.
-  void PassFor(Duration aTime, const std::vector<uint32_t>& aHot)
+  /// @param aHot hot keys during this time.
+  void AdvanceTime(Duration aTime, const std::vector<uint32_t>& aHot)
   {
     for (const Instant end = leader.now + aTime; leader.now < end;) {
-      leader.AdvanceTime(kStep);
-      Come(aHot);
+      leader.AdvanceTime(kTimeStep);
+      ReportLoad(aHot);
       for (Upstream& upstream : mUpstreams) {
-        if (leader.now >= upstream.next && !Waits(upstream)) {
-          Beat(upstream);
+        if (leader.now >= upstream.nextHeartbeatAt &&
+            !IsAnswerDelayed(upstream)) {
+          SendHeartbeat(upstream);
         }
       }
-      if (const std::string owner = Owner();
-          owner != mOwner && !owner.empty()) {
+      if (const std::string owner = CurrentOwner();
+          owner != mLastOwner && !owner.empty()) {
         owners.push_back(owner);
-        mOwner = owner;
+        mLastOwner = owner;
       }
-      unowned += Owner().empty() ? Duration(kStep) : Duration::zero();
+      unownedTime +=
+        CurrentOwner().empty() ? Duration(kTimeStep) : Duration::zero();
     }
   }
 
-  /// Who runs requests for the hot key; nobody while it is held back or free.
-  std::string Owner(uint32_t aKey = kHotKey) const
+  /// @return the owner of a key; empty while the key is revoked or free.
+  std::string CurrentOwner(uint32_t aKey = kHotKey) const
   {
     const RangeTable* ranges = leader.state.Ranges("board");
     if (ranges == nullptr || ranges->Find(aKey).held_back()) {
@@ -214,44 +224,44 @@
     return ranges->Find(aKey).holder();
   }
 
-  void Forget()
+  void ResetStatistics()
   {
     owners.clear();
-    unowned = {};
+    unownedTime = {};
   }
 
-  void Slow(const std::string& aInstance, double aSeconds)
+  void SetLatency(const std::string& aInstance, double aSeconds)
   {
     for (Upstream& upstream : mUpstreams) {
       if (upstream.id == aInstance) {
-        upstream.seconds = aSeconds;
+        upstream.latencySeconds = aSeconds;
       }
     }
   }
 
   SimulatedLeader leader;
-  /// Owners of the hot key, one after the other, and the time without one.
+  /// Owners of the hot key in order, and the time for which it had none.
   std::vector<std::string> owners;
-  Duration unowned{};
+  Duration unownedTime{};
 
 private:
   struct Upstream
   {
     std::string id;
-    double seconds = 0.1;
+    double latencySeconds = 0.1;
     uint64_t sequence = 0;
-    Instant next{};
+    Instant nextHeartbeatAt{};
     std::vector<GrantedRange> held;
     std::vector<ReleasedRange> released;
   };
 
-  void Come(const std::vector<uint32_t>& aHot)
+  void ReportLoad(const std::vector<uint32_t>& aHot)
   {
-    mDue += kStep;
-    if (mDue < milliseconds{ 200 }) {
+    mSinceReport += kTimeStep;
+    if (mSinceReport < milliseconds{ 200 }) {
       return;
     }
-    mDue = {};
+    mSinceReport = {};
     wire::RangeLoad load;
     load.set_service("board");
     const auto add = [&](uint32_t aKey, double aRequests) {
@@ -267,31 +277,33 @@
     leader.rangeAssigner->AddLoad(load);
     std::uniform_real_distribution<double> noise(0.7, 1.3);
     for (const Upstream& upstream : mUpstreams) {
-      const bool full = !aHot.empty() && Owner() == upstream.id;
-      leader.rangeAssigner->RecordLatency(upstream.id,
-                                          upstream.seconds * noise(mRandom) *
-                                            (full ? kFullSlower : 1));
+      const bool overloaded = !aHot.empty() && CurrentOwner() == upstream.id;
+      leader.rangeAssigner->RecordLatency(
+        upstream.id,
+        upstream.latencySeconds * noise(mRandom) *
+          (overloaded ? kOverloadLatencyFactor : 1));
     }
   }
 
-  /// An answer waits a moment for keys on their way to the upstream.
-  bool Waits(const Upstream& aUpstream)
+  /// @return whether the answer to an upstream's heartbeat waits for keys that
+  /// are about to be released.
+  bool IsAnswerDelayed(const Upstream& aUpstream)
   {
-    return leader.now < aUpstream.next + kKeysAwaited &&
+    return leader.now < aUpstream.nextHeartbeatAt + kMaxAnswerDelay &&
            leader.rangeAssigner->ShouldDelayAnswer(
              HeartbeatFrom(aUpstream.id, aUpstream.sequence),
              leader.state,
              leader.now);
   }
 
-  void Beat(Upstream& aUpstream)
+  void SendHeartbeat(Upstream& aUpstream)
   {
     Heartbeat heartbeat = HeartbeatFrom(aUpstream.id, ++aUpstream.sequence);
     heartbeat.released = std::exchange(aUpstream.released, {});
     const auto grants = leader.HandleHeartbeat(heartbeat);
     for (const GrantedRange& held : aUpstream.held) {
       uint32_t from = held.keys.from;
-      // What an answer leaves out of a range is released.
+      // The upstream releases the parts of a range that the answer leaves out.
       std::vector<KeySpan> kept;
       for (const GrantedRange& range :
            grants ? grants->ranges : std::vector<GrantedRange>{}) {
@@ -313,21 +325,21 @@
     if (grants) {
       aUpstream.held = grants->ranges;
     }
-    aUpstream.next =
+    aUpstream.nextHeartbeatAt =
       leader.now + (aUpstream.released.empty() ? kHeartbeatInterval
                                                : Duration(milliseconds{ 100 }));
   }
 
   std::mt19937 mRandom;
   std::vector<Upstream> mUpstreams;
-  Duration mDue{};
-  std::string mOwner;
+  Duration mSinceReport{};
+  std::string mLastOwner;
 };
 
-// Two holders get the same load, drawn at random, and are busy with it. One of
-// them always has some more by chance. Keys that are moved for that have no
-// owner for 200 ms, and are moved back when chance turns.
-TEST(RangeAssigner, ChanceMovesNoKeys)
+// Two owners get random requests at the same rate, and their slots are mostly
+// in use. At any time one of them has more load by chance. If keys were moved
+// for that, they would have no owner for 200 ms, and would be moved back later.
+TEST(RangeAssigner, RandomLoadDifferencesMoveNoKeys)
 {
   size_t moved = 0;
   for (unsigned seed = 1; seed <= 20; ++seed) {
@@ -337,7 +349,7 @@
     leader.rangeAssigner->RecordLatency("a", 0.2);
     leader.rangeAssigner->RecordLatency("b", 0.2);
     uint64_t sequence = 10;
-    PassUnder(leader, 60, sequence, [&] {
+    AdvanceUnderLoad(leader, 60, sequence, [&] {
       wire::RangeLoad load;
       for (int request = 0; request < 3; ++request) {
         load.add_buckets(random() % kKeyCount);
@@ -345,22 +357,22 @@
       }
       return load;
     });
-    ASSERT_NE(leader.HolderOf(0), "");
-    moved += HoldsBack(leader) ? 1 : 0;
+    ASSERT_NE(leader.OwnerOf(0), "");
+    moved += HasRevokedKeys(leader) ? 1 : 0;
   }
   EXPECT_LE(moved, 2U);
 }
 
-// One key alone overruns its holder, and another instance is twice as fast. The
-// key is moved if that one's heartbeat comes about when it is released; were it
-// moved just after that heartbeat, it would have no owner for most of an
+// One key alone exceeds its owner's capacity, and another instance is faster.
+// The key moves if that instance's heartbeat is due when the key is released.
+// Moved just after the heartbeat, it would have no owner for most of an
 // interval.
-TEST(RangeAssigner, BusiestKeyMovesOnlyToAnInstanceWhoseHeartbeatIsDue)
+TEST(RangeAssigner, HotKeyMovesOnlyToInstanceWithHeartbeatDue)
 {
   for (const bool due : { false, true }) {
     SimulatedLeader leader;
     AssignKeysToTwo(leader);
-    MakeBusy(leader, 1, { "a", "b" });
+    OverloadFirstKeys(leader, 1, { "a", "b" });
     for (int report = 0; report < 200; ++report) {
       leader.rangeAssigner->RecordLatency("a", 0.1);
       leader.rangeAssigner->RecordLatency("b", 0.03);
@@ -377,10 +389,10 @@
   }
 }
 
-// Reports of an instance's time are averages of few answers. A single one that
-// is half as long again must not make its holder look slow and its keys move; a
-// holder that stays slow gives some away.
-TEST(RangeAssigner, OneLongAnswerMovesNoKeys)
+// Reported response times are means of a few responses. A single report that is
+// 1.7 times as high must not make its owner look slow and its keys move; an
+// owner that stays slow gives up some keys.
+TEST(RangeAssigner, SingleHighLatencyReportMovesNoKeys)
 {
   SimulatedLeader leader;
   AssignKeysToTwo(leader);
@@ -395,43 +407,45 @@
   };
   leader.rangeAssigner->RecordLatency("a", 0.1);
   leader.rangeAssigner->RecordLatency("b", 0.1);
-  PassUnder(leader, 20, sequence, even);
+  AdvanceUnderLoad(leader, 20, sequence, even);
   leader.rangeAssigner->RecordLatency("a", 0.17);
-  PassUnder(leader, 10, sequence, even);
-  ASSERT_NE(leader.HolderOf(0), "");
-  EXPECT_FALSE(HoldsBack(leader));
+  AdvanceUnderLoad(leader, 10, sequence, even);
+  ASSERT_NE(leader.OwnerOf(0), "");
+  EXPECT_FALSE(HasRevokedKeys(leader));
   for (int report = 0; report < 60; ++report) {
     leader.rangeAssigner->RecordLatency("a", 0.4);
   }
-  PassUnder(leader, 10, sequence, even);
-  EXPECT_TRUE(HoldsBack(leader));
+  AdvanceUnderLoad(leader, 10, sequence, even);
+  EXPECT_TRUE(HasRevokedKeys(leader));
 }
 
-// One key is six times what any upstream can run, and all upstreams are about
-// equally fast. Its requests wait or are refused at whoever owns it, which is
-// full and answers slower. Another one would gain them nothing, and each move
-// leaves the key without an owner for part of a second.
-TEST(RangeAssigner, KeyThatIsTooMuchForAnyUpstreamStays)
+// One key gets six times the requests that any upstream can process, and all
+// upstreams are about equally fast. Its owner is overloaded and responds more
+// slowly. Another owner would gain nothing, and each move leaves the key
+// without an owner for part of a second.
+TEST(RangeAssigner, HotKeyStaysIfNoUpstreamIsFaster)
 {
   for (unsigned seed = 1; seed <= 10; ++seed) {
-    BusyService service({ 0.1, 0.08, 0.11, 0.09, 0.12, 0.1 }, seed);
-    service.PassFor(std::chrono::seconds{ 5 }, {});
-    service.Forget();
-    service.PassFor(std::chrono::seconds{ 10 }, { BusyService::kHotKey });
+    SimulatedService service({ 0.1, 0.08, 0.11, 0.09, 0.12, 0.1 }, seed);
+    service.AdvanceTime(std::chrono::seconds{ 5 }, {});
+    service.ResetStatistics();
+    service.AdvanceTime(std::chrono::seconds{ 10 },
+                        { SimulatedService::kHotKey });
     EXPECT_LE(service.owners.size(), 1U) << "seed " << seed;
-    EXPECT_LE(service.unowned, milliseconds{ 400 }) << "seed " << seed;
+    EXPECT_LE(service.unownedTime, milliseconds{ 400 }) << "seed " << seed;
   }
 }
 
-// Two such keys lie side by side, and each would fit the share of a much faster
-// upstream, whose heartbeat has just come. A slice is taken by whoever comes
-// next, and not for an interval if that is the fast one; the keys beside them
-// are given away instead.
-TEST(RangeAssigner, KeyThatIsTooMuchIsInNoSlice)
+// Two adjacent keys are hot, and each would fit the share of a much faster
+// upstream, which has just sent a heartbeat. A revoked range goes to the next
+// upstream that sends a heartbeat, and would have no owner for an interval if
+// only the fast one can take it. So the neighbours of the hot keys are revoked
+// instead.
+TEST(RangeAssigner, HotKeysAreNotMovedWithTheirNeighbours)
 {
   SimulatedLeader leader;
   AssignKeysToTwo(leader);
-  MakeBusy(leader, 2);
+  OverloadFirstKeys(leader, 2);
   for (int report = 0; report < 200; ++report) {
     leader.rangeAssigner->RecordLatency("a", 0.1);
     leader.rangeAssigner->RecordLatency("b", 0.02);
@@ -441,13 +455,13 @@
   leader.HandleHeartbeat(HeartbeatFrom("a", 8));
   EXPECT_FALSE(leader.state.Ranges("board")->Find(key).held_back());
   EXPECT_FALSE(leader.state.Ranges("board")->Find(key + 1).held_back());
-  EXPECT_TRUE(HoldsBack(leader));
+  EXPECT_TRUE(HasRevokedKeys(leader));
 }
 
-// A holder has grown so slow that each of a dozen keys is too much for it,
-// which others carry with ease. It gives them away together as ever: one at a
-// time, it would be overrun for a dozen heartbeats.
-TEST(RangeAssigner, KeysThatAreTooMuchForASlowHolderOnlyGoTogether)
+// An owner has become so slow that each of a dozen keys is hot for it, but not
+// for other instances. The keys must be revoked together: one at a time, the
+// owner would stay overloaded for a dozen heartbeats.
+TEST(RangeAssigner, KeysHotOnlyForSlowOwnerMoveTogether)
 {
   SimulatedLeader leader;
   AssignKeysToTwo(leader);
@@ -468,55 +482,58 @@
   }
   leader.HandleHeartbeat(HeartbeatFrom("b", 8));
   leader.HandleHeartbeat(HeartbeatFrom("a", 8));
-  size_t given = 0;
+  size_t revokedKeys = 0;
   for (uint32_t key = first; key < first + 12; ++key) {
-    given += leader.state.Ranges("board")->Find(key).held_back() ? 1 : 0;
+    revokedKeys += leader.state.Ranges("board")->Find(key).held_back() ? 1 : 0;
   }
-  EXPECT_GE(given, 6U);
+  EXPECT_GE(revokedKeys, 6U);
 }
 
-// The owner of such a key is three times as slow as the others. It runs a third
-// of what another would, so the key goes to another, and stays there.
-TEST(RangeAssigner, KeyThatIsTooMuchLeavesASlowUpstreamOnce)
+// The owner of a hot key is three times as slow as the other upstreams, and
+// processes a third of the requests that another would. So the key moves once,
+// and then stays.
+TEST(RangeAssigner, HotKeyLeavesSlowUpstreamOnce)
 {
   for (unsigned seed = 1; seed <= 10; ++seed) {
-    BusyService service({ 0.1, 0.1, 0.1, 0.1, 0.1, 0.1 }, seed);
-    service.PassFor(std::chrono::seconds{ 5 }, {});
-    const std::string slow = service.Owner();
-    service.Slow(slow, 0.3);
-    service.Forget();
-    service.PassFor(std::chrono::seconds{ 10 }, { BusyService::kHotKey });
+    SimulatedService service({ 0.1, 0.1, 0.1, 0.1, 0.1, 0.1 }, seed);
+    service.AdvanceTime(std::chrono::seconds{ 5 }, {});
+    const std::string slow = service.CurrentOwner();
+    service.SetLatency(slow, 0.3);
+    service.ResetStatistics();
+    service.AdvanceTime(std::chrono::seconds{ 10 },
+                        { SimulatedService::kHotKey });
     EXPECT_EQ(service.owners.size(), 1U) << "seed " << seed;
-    EXPECT_NE(service.Owner(), slow) << "seed " << seed;
+    EXPECT_NE(service.CurrentOwner(), slow) << "seed " << seed;
   }
 }
 
-// Busy keys lie side by side. Two that are each too much for any upstream share
-// what their owner can run; one of them goes to another upstream. It may have
-// been in a slice before the first reports showed how busy it is.
-TEST(RangeAssigner, TwoKeysThatAreTooMuchGetDifferentOwners)
+// Two adjacent keys each exceed the capacity of any upstream, and share the
+// capacity of their owner. One of them must move to another upstream. It may
+// also have been part of another move before the first reports showed its load.
+TEST(RangeAssigner, TwoHotKeysGetDifferentOwners)
 {
-  const std::vector<uint32_t> hot{ BusyService::kHotKey,
-                                   BusyService::kHotKey + 1 };
+  const std::vector<uint32_t> hot{ SimulatedService::kHotKey,
+                                   SimulatedService::kHotKey + 1 };
   for (unsigned seed = 1; seed <= 10; ++seed) {
-    BusyService service({ 0.1, 0.1, 0.1, 0.1, 0.1, 0.1 }, seed);
-    service.PassFor(std::chrono::seconds{ 5 }, {});
-    ASSERT_EQ(service.Owner(hot[0]), service.Owner(hot[1]));
-    service.Forget();
-    service.PassFor(std::chrono::seconds{ 10 }, hot);
-    EXPECT_NE(service.Owner(hot[0]), service.Owner(hot[1])) << "seed " << seed;
+    SimulatedService service({ 0.1, 0.1, 0.1, 0.1, 0.1, 0.1 }, seed);
+    service.AdvanceTime(std::chrono::seconds{ 5 }, {});
+    ASSERT_EQ(service.CurrentOwner(hot[0]), service.CurrentOwner(hot[1]));
+    service.ResetStatistics();
+    service.AdvanceTime(std::chrono::seconds{ 10 }, hot);
+    EXPECT_NE(service.CurrentOwner(hot[0]), service.CurrentOwner(hot[1]))
+      << "seed " << seed;
     EXPECT_LE(service.owners.size(), 2U) << "seed " << seed;
   }
 }
 
-TEST(RangeAssigner, BusyHolderGivesKeysAway)
+TEST(RangeAssigner, KeysAreRevokedFromOverloadedOwner)
 {
   SimulatedLeader leader;
   AssignKeysToTwo(leader);
-  MakeBusy(leader, 20);
+  OverloadFirstKeys(leader, 20);
   leader.HandleHeartbeat(HeartbeatFrom("b", 8));
   const auto grants = leader.HandleHeartbeat(HeartbeatFrom("a", 8));
-  ASSERT_TRUE(HoldsBack(leader));
+  ASSERT_TRUE(HasRevokedKeys(leader));
   ASSERT_TRUE(grants);
   for (const GrantedRange& range : grants->ranges) {
     const auto& segment = leader.state.Ranges("board")->Find(range.keys.from);
@@ -524,17 +541,17 @@
   }
 }
 
-// A busy holder was told to release keys; then another host leads. It must go
-// on leaving these keys out: renewed but held back, they would be served by
-// nobody for good.
-TEST(RangeAssigner, NewLeaderGoesOnWithKeysHeldBack)
+// Keys of an overloaded owner have been revoked when another host is elected
+// leader. The new leader must leave these keys out of its answers: keys that
+// are renewed but marked as revoked would never be served again.
+TEST(RangeAssigner, NewLeaderKeepsKeysRevoked)
 {
   SimulatedLeader leader;
   AssignKeysToTwo(leader);
-  MakeBusy(leader, 20);
+  OverloadFirstKeys(leader, 20);
   leader.HandleHeartbeat(HeartbeatFrom("b", 8));
   leader.HandleHeartbeat(HeartbeatFrom("a", 8));
-  ASSERT_TRUE(HoldsBack(leader));
+  ASSERT_TRUE(HasRevokedKeys(leader));
   leader.FailOver();
   const auto grants = leader.HandleHeartbeat(HeartbeatFrom("a", 9));
   ASSERT_TRUE(grants);
@@ -544,14 +561,14 @@
   }
 }
 
-// A heartbeat reports the release of keys that were held back. Moves planned by
-// the state before that release would hold the same keys back again, of an
-// instance that no longer has them, and they would have no owner for good.
-TEST(RangeAssigner, HeartbeatThatReleasesPlansNoMoves)
+// A heartbeat reports the release of revoked keys. Moves that were planned by
+// the state before the release would revoke the same keys again, of an instance
+// that no longer owns them, and they would never have an owner again.
+TEST(RangeAssigner, HeartbeatWithReleasePlansNoMoves)
 {
   SimulatedLeader leader;
   AssignKeysToTwo(leader);
-  MakeBusy(leader, 20);
+  OverloadFirstKeys(leader, 20);
   leader.HandleHeartbeat(HeartbeatFrom("b", 8));
   leader.HandleHeartbeat(HeartbeatFrom("a", 8));
   Heartbeat release = HeartbeatFrom("a", 9);
@@ -561,7 +578,7 @@
     }
   }
   leader.HandleHeartbeat(release);
-  EXPECT_FALSE(HoldsBack(leader));
+  EXPECT_FALSE(HasRevokedKeys(leader));
 }
 
 } // namespace
--- a/src/librattandyke/gateway/range_assigner_restart_test.cpp
+++ b/src/librattandyke/gateway/range_assigner_restart_test.cpp
@@ -11,39 +11,42 @@
 using std::chrono::milliseconds;
 
 Heartbeat
-FromLife(const std::string& aInstance, uint64_t aLife, uint64_t aSequence)
+HeartbeatOf(const std::string& aInstance,
+            uint64_t aIncarnation,
+            uint64_t aSequence)
 {
   Heartbeat heartbeat = HeartbeatFrom(aInstance, aSequence);
-  heartbeat.life = aLife;
+  heartbeat.life = aIncarnation;
   return heartbeat;
 }
 
-/// Announces the first lives of two instances until they share all keys.
+/// Sends heartbeats of the first incarnations of "a" and "b" until they own all
+/// keys.
 void
-SettleLives(SimulatedLeader& aLeader)
+AssignKeysToFirstIncarnations(SimulatedLeader& aLeader)
 {
   for (uint64_t sequence = 1; sequence <= 4; ++sequence) {
-    aLeader.HandleHeartbeat(FromLife("a", 100, sequence));
+    aLeader.HandleHeartbeat(HeartbeatOf("a", 100, sequence));
     aLeader.AdvanceTime(kHeartbeatInterval / 2);
-    aLeader.HandleHeartbeat(FromLife("b", 100, sequence));
+    aLeader.HandleHeartbeat(HeartbeatOf("b", 100, sequence));
     aLeader.AdvanceTime(kHeartbeatInterval / 2);
   }
 }
 
-// A process crashes and starts again under its id, with its calls numbered from
-// 1. Taken as late calls of the earlier life they would renew nothing, and its
-// keys would have no owner that runs requests until the old hold is over. The
-// later life proves that the earlier one is over: its first heartbeat is given
-// keys, under a fence above the earlier one's.
-TEST(RangeAssigner, LaterLifeIsGivenKeysAtItsFirstHeartbeat)
+// A process crashes and restarts under its id, with its heartbeats numbered
+// from 1. If the leader took them for delayed ones of the earlier incarnation,
+// it would renew no lease, and the keys would be unserved until the old lease
+// ends. The later incarnation proves that the earlier one has ended, so its
+// first heartbeat is granted keys, with a higher fence.
+TEST(RangeAssigner, LaterIncarnationIsGrantedKeysAtFirstHeartbeat)
 {
   SimulatedLeader leader;
-  SettleLives(leader);
+  AssignKeysToFirstIncarnations(leader);
   const uint32_t key = leader.state.Ranges("board")->Segments().front().from();
-  const std::string owner = leader.HolderOf(key);
+  const std::string owner = leader.OwnerOf(key);
   const uint64_t fence = leader.state.Ranges("board")->Find(key).fence();
   leader.AdvanceTime(milliseconds{ 300 });
-  const auto grants = leader.HandleHeartbeat(FromLife(owner, 200, 1));
+  const auto grants = leader.HandleHeartbeat(HeartbeatOf(owner, 200, 1));
   ASSERT_TRUE(grants);
   ASSERT_GT(CountKeys(grants), 0U);
   for (const GrantedRange& range : grants->ranges) {
@@ -51,21 +54,22 @@
   }
 }
 
-// The last heartbeat of an earlier life was held up and arrives after the later
-// life has spoken: it reports releases, says that it drains, and has a higher
-// sequence than any of the later life. It must change nothing, whoever leads.
-TEST(RangeAssigner, EarlierLifeChangesNothingOnceALaterOneSpoke)
+// The last heartbeat of an earlier incarnation is delayed, and arrives after
+// one of the later incarnation. It reports releases, is draining, and has a
+// higher sequence number. It must change nothing, also after a change of
+// leader.
+TEST(RangeAssigner, EarlierIncarnationChangesNothingAfterLaterOne)
 {
-  for (const bool replaced : { false, true }) {
+  for (const bool failover : { false, true }) {
     SimulatedLeader leader;
-    SettleLives(leader);
-    leader.HandleHeartbeat(FromLife("a", 200, 1));
-    leader.HandleHeartbeat(FromLife("a", 200, 2));
-    if (replaced) {
+    AssignKeysToFirstIncarnations(leader);
+    leader.HandleHeartbeat(HeartbeatOf("a", 200, 1));
+    leader.HandleHeartbeat(HeartbeatOf("a", 200, 2));
+    if (failover) {
       leader.FailOver();
     }
     const auto before = leader.state.Save().SerializeAsString();
-    Heartbeat late = FromLife("a", 100, 50);
+    Heartbeat late = HeartbeatOf("a", 100, 50);
     late.draining = true;
     late.released = { { { 0, kMaxKey }, "h" } };
     EXPECT_EQ(leader.rangeAssigner->Check(late, leader.state).error().code,
@@ -74,167 +78,169 @@
     EXPECT_FALSE(
       leader.rangeAssigner->OnDeregistration({ "a", 100 }, leader.state));
     EXPECT_EQ(leader.state.Save().SerializeAsString(), before);
-    EXPECT_TRUE(leader.HandleHeartbeat(FromLife("a", 200, 3)));
+    EXPECT_TRUE(leader.HandleHeartbeat(HeartbeatOf("a", 200, 3)));
   }
 }
 
-// A grant to a life is planned, and the next life is registered before the log
-// has the grant. Applied then, it would name an owner that holds nothing.
-TEST(RangeAssigner, GrantToAnEarlierLifeIsRefused)
+// A grant to an incarnation is planned, and the next incarnation is registered
+// before the grant is committed. If the grant were applied, its keys would have
+// an owner that does not serve them.
+TEST(RangeAssigner, GrantToEarlierIncarnationIsRefused)
 {
   SimulatedLeader leader;
-  SettleLives(leader);
+  AssignKeysToFirstIncarnations(leader);
   wire::GatewayCommand late;
   wire::GrantRanges* grant = late.mutable_grant_ranges();
   grant->set_service("board");
   grant->set_holder("a");
   grant->set_life(100);
   leader.Commit(leader.rangeAssigner->OnHeartbeat(
-    FromLife("a", 200, 1), leader.state, leader.now));
+    HeartbeatOf("a", 200, 1), leader.state, leader.now));
   EXPECT_FALSE(leader.state.Apply(late, LogIndex{ ++leader.index }));
   EXPECT_EQ(leader.rangeAssigner->RenewLease(
-              FromLife("a", 100, 4), leader.state, leader.now),
+              HeartbeatOf("a", 100, 4), leader.state, leader.now),
             std::nullopt);
 }
 
-// A process says that it leaves, crashes, and starts again: its later life does
-// not leave. Within one life a heartbeat that was held up from before must not
-// bring the process back, also when a new leader hears it that knows no
-// sequence.
-TEST(RangeAssigner, OnlyALaterLifeEndsDraining)
+// A process starts to drain, crashes and restarts: its later incarnation does
+// not drain. Within one incarnation a delayed heartbeat from before must not
+// end the draining, also at a new leader that does not know the sequence
+// number.
+TEST(RangeAssigner, OnlyLaterIncarnationEndsDraining)
 {
   SimulatedLeader leader;
-  SettleLives(leader);
-  Heartbeat leaving = FromLife("a", 100, 9);
-  leaving.draining = true;
-  leader.HandleHeartbeat(leaving);
+  AssignKeysToFirstIncarnations(leader);
+  Heartbeat drainingHeartbeat = HeartbeatOf("a", 100, 9);
+  drainingHeartbeat.draining = true;
+  leader.HandleHeartbeat(drainingHeartbeat);
   leader.FailOver();
-  leader.HandleHeartbeat(FromLife("a", 100, 8));
+  leader.HandleHeartbeat(HeartbeatOf("a", 100, 8));
   EXPECT_TRUE(leader.state.FindInstance("a")->draining());
-  leader.HandleHeartbeat(FromLife("a", 200, 1));
+  leader.HandleHeartbeat(HeartbeatOf("a", 200, 1));
   EXPECT_FALSE(leader.state.FindInstance("a")->draining());
 }
 
-// An instance deregisters and starts again under its id: what ended is its
-// earlier life only, and a held-up call of that one ends nothing any more.
-TEST(RangeAssigner, DeregisteredInstanceComesBackInALaterLife)
+// An instance deregisters and restarts under its id. The deregistration ends
+// only the earlier incarnation, and a delayed second deregistration of that
+// incarnation ends nothing.
+TEST(RangeAssigner, DeregisteredInstanceReturnsAsLaterIncarnation)
 {
   SimulatedLeader leader;
-  SettleLives(leader);
+  AssignKeysToFirstIncarnations(leader);
   const auto ended =
     leader.rangeAssigner->OnDeregistration({ "a", 100 }, leader.state);
   ASSERT_TRUE(ended);
   leader.Commit({ *ended });
-  leader.HandleHeartbeat(FromLife("a", 100, 9));
+  leader.HandleHeartbeat(HeartbeatOf("a", 100, 9));
   EXPECT_EQ(leader.state.FindInstance("a"), nullptr);
-  leader.HandleHeartbeat(FromLife("a", 200, 1));
+  leader.HandleHeartbeat(HeartbeatOf("a", 200, 1));
   ASSERT_NE(leader.state.FindInstance("a"), nullptr);
   leader.Commit({ *ended });
   EXPECT_NE(leader.state.FindInstance("a"), nullptr);
 }
 
-/// A deregistration that tells no life.
+/// @return the command for a deregistration without an incarnation number.
 wire::GatewayCommand
-Withdrawal(const SimulatedLeader& aLeader, const std::string& aInstance)
+WithdrawalOf(const SimulatedLeader& aLeader, const std::string& aInstance)
 {
   const auto command =
     aLeader.rangeAssigner->OnDeregistration({ aInstance, 0 }, aLeader.state);
   return command.value_or(wire::GatewayCommand{});
 }
 
-// Guards against upstreams that leave by a call without a life, are refused,
-// and are sent requests after they are gone.
-TEST(RangeAssigner, DeregistrationWithoutALifeDrainsThePresentOne)
+// Guards against upstreams whose deregistration without an incarnation number
+// is refused, and that get requests after they have ended.
+TEST(RangeAssigner, DeregistrationWithoutIncarnationDrainsCurrentOne)
 {
   SimulatedLeader leader;
-  SettleLives(leader);
-  const wire::GatewayCommand command = Withdrawal(leader, "a");
+  AssignKeysToFirstIncarnations(leader);
+  const wire::GatewayCommand command = WithdrawalOf(leader, "a");
   ASSERT_TRUE(command.has_withdraw_instance());
   leader.Commit({ command });
   EXPECT_TRUE(leader.state.FindInstance("a")->draining());
-  // The same call again is taken again.
-  leader.Commit({ Withdrawal(leader, "a") });
+  // A repeated call is accepted.
+  leader.Commit({ WithdrawalOf(leader, "a") });
   EXPECT_TRUE(leader.state.FindInstance("a")->draining());
-  EXPECT_TRUE(Withdrawal(leader, "gone").has_end_instance());
+  EXPECT_TRUE(WithdrawalOf(leader, "gone").has_end_instance());
 }
 
-// Guards against a deregistration of an earlier life that arrives late and
-// takes a later one out for good.
-TEST(RangeAssigner, WithdrawnInstanceThatGoesOnComesBack)
+// Guards against a delayed deregistration of an earlier incarnation that
+// permanently withdraws a later one.
+TEST(RangeAssigner, WithdrawnInstanceThatStillRunsReturns)
 {
-  for (const bool replaced : { false, true }) {
+  for (const bool failover : { false, true }) {
     SimulatedLeader leader;
-    SettleLives(leader);
-    leader.Commit({ Withdrawal(leader, "a") });
-    if (replaced) {
+    AssignKeysToFirstIncarnations(leader);
+    leader.Commit({ WithdrawalOf(leader, "a") });
+    if (failover) {
       leader.FailOver();
     }
-    leader.HandleHeartbeat(FromLife("a", 100, 10));
+    leader.HandleHeartbeat(HeartbeatOf("a", 100, 10));
     EXPECT_TRUE(leader.state.FindInstance("a")->draining());
     leader.AdvanceTime(kHeartbeatInterval);
-    leader.HandleHeartbeat(FromLife("a", 100, 11));
+    leader.HandleHeartbeat(HeartbeatOf("a", 100, 11));
     EXPECT_FALSE(leader.state.FindInstance("a")->draining());
     EXPECT_FALSE(leader.state.FindInstance("a")->withdrawn());
   }
 }
 
-// Guards against heartbeats that were held up and bring a leaving upstream
-// back: they were sent before its deregistration and arrive together.
-TEST(RangeAssigner, HeldUpHeartbeatsDoNotBringAWithdrawnInstanceBack)
+// Guards against delayed heartbeats that make a draining upstream active: they
+// were sent before its deregistration, and arrive together.
+TEST(RangeAssigner, DelayedHeartbeatsDoNotReturnWithdrawnInstance)
 {
   SimulatedLeader leader;
-  SettleLives(leader);
-  leader.Commit({ Withdrawal(leader, "a") });
+  AssignKeysToFirstIncarnations(leader);
+  leader.Commit({ WithdrawalOf(leader, "a") });
   leader.AdvanceTime(kHeartbeatInterval * 2);
   for (uint64_t sequence = 10; sequence < 14; ++sequence) {
-    leader.HandleHeartbeat(FromLife("a", 100, sequence));
+    leader.HandleHeartbeat(HeartbeatOf("a", 100, sequence));
     leader.AdvanceTime(milliseconds{ 20 });
   }
   EXPECT_TRUE(leader.state.FindInstance("a")->draining());
-  Heartbeat leaving = FromLife("a", 100, 20);
-  leaving.draining = true;
+  Heartbeat drainingHeartbeat = HeartbeatOf("a", 100, 20);
+  drainingHeartbeat.draining = true;
   leader.AdvanceTime(kHeartbeatInterval);
-  leader.HandleHeartbeat(leaving);
-  leader.HandleHeartbeat(FromLife("a", 100, 21));
+  leader.HandleHeartbeat(drainingHeartbeat);
+  leader.HandleHeartbeat(HeartbeatOf("a", 100, 21));
   EXPECT_TRUE(leader.state.FindInstance("a")->draining());
 }
 
-// Guards against a withdrawal that outlives the process that it was about.
-TEST(RangeAssigner, LaterLifeIsNotWithdrawn)
+// Guards against a withdrawal that applies to a later incarnation.
+TEST(RangeAssigner, LaterIncarnationIsNotWithdrawn)
 {
   SimulatedLeader leader;
-  SettleLives(leader);
-  leader.Commit({ Withdrawal(leader, "a") });
-  leader.HandleHeartbeat(FromLife("a", 200, 1));
+  AssignKeysToFirstIncarnations(leader);
+  leader.Commit({ WithdrawalOf(leader, "a") });
+  leader.HandleHeartbeat(HeartbeatOf("a", 200, 1));
   EXPECT_FALSE(leader.state.FindInstance("a")->draining());
 }
 
-// A process starts again with a clock that was set back: its life looks earlier
-// than the one known, as a held-up message does. It is taken once the known one
-// has been silent for longer than any message is held up.
-TEST(RangeAssigner, LifeOfAClockSetBackIsTakenOnceTheKnownOneIsForgotten)
+// A process restarts after its clock was set back, so its incarnation number is
+// lower than the known one, as in a delayed message. It is accepted once the
+// known incarnation has been silent for longer than any message is delayed.
+TEST(RangeAssigner, LowerIncarnationIsAcceptedAfterKnownOneIsRemoved)
 {
   SimulatedLeader leader;
-  SettleLives(leader);
-  EXPECT_FALSE(leader.HandleHeartbeat(FromLife("a", 50, 1)));
-  leader.AdvanceTime(kOptions.forgetAfter + kHeartbeatInterval);
-  EXPECT_TRUE(leader.HandleHeartbeat(FromLife("a", 50, 2)));
+  AssignKeysToFirstIncarnations(leader);
+  EXPECT_FALSE(leader.HandleHeartbeat(HeartbeatOf("a", 50, 1)));
+  leader.AdvanceTime(kOptions.removeAfter + kHeartbeatInterval);
+  EXPECT_TRUE(leader.HandleHeartbeat(HeartbeatOf("a", 50, 2)));
   EXPECT_EQ(leader.state.FindInstance("a")->life(), 50U);
 }
 
-// Another life may have another address, or serve another service: its keys of
-// the earlier one are free.
-TEST(RangeAssigner, LaterLifeMayServeElsewhere)
+// A later incarnation may have another address or serve another service. The
+// keys of the earlier incarnation are freed.
+TEST(RangeAssigner, LaterIncarnationMayServeAnotherService)
 {
   SimulatedLeader leader;
-  SettleLives(leader);
+  AssignKeysToFirstIncarnations(leader);
   wire::GatewayCommand command;
   wire::ServiceItem* service = command.mutable_change_items()->add_services();
   service->set_name("desk");
   service->set_version(1);
   service->set_source("desk");
   leader.Commit({ command });
-  Heartbeat moved = FromLife("a", 200, 1);
+  Heartbeat moved = HeartbeatOf("a", 200, 1);
   moved.service = "desk";
   moved.address = "10.0.0.7:99";
   leader.HandleHeartbeat(moved);
@@ -244,83 +250,94 @@
   }
 }
 
-/// What a process that is not known sends from the address of another.
+/// @return a heartbeat of the unknown instance "x" from the address of another
+/// instance.
 Heartbeat
-FromAddressOf(const std::string& aOther, uint64_t aLife, uint64_t aSequence)
+HeartbeatFromAddressOf(const std::string& aOther,
+                       uint64_t aIncarnation,
+                       uint64_t aSequence)
 {
-  Heartbeat heartbeat = FromLife("x", aLife, aSequence);
+  Heartbeat heartbeat = HeartbeatOf("x", aIncarnation, aSequence);
   heartbeat.address = HeartbeatFrom(aOther, 1).address;
   return heartbeat;
 }
 
-// A process crashed before any of its heartbeats came through; another one
-// started at its address, was granted keys, and can't reach the control hosts
-// for a moment. Two heartbeats of the first that were held up arrive now, an
-// interval apart: as from a successor of the second, which goes on serving for
-// the rest of its hold. Its keys must not be granted to others before.
-TEST(RangeAssigner, HeldUpHeartbeatsOfAnEarlierProcessEndNothing)
+// A process crashes before any of its heartbeats arrives. Another process
+// starts at its address, is granted keys, and temporarily can't reach the
+// control hosts. Two delayed heartbeats of the first process arrive, an
+// interval apart, as from a successor of the second process, which serves until
+// its lease ends. Its keys must not be granted to other instances before.
+TEST(RangeAssigner, DelayedHeartbeatsOfEarlierProcessEndNoInstance)
 {
-  for (const uint64_t life : { uint64_t{ 0 }, uint64_t{ 100 } }) {
+  for (const uint64_t incarnation : { uint64_t{ 0 }, uint64_t{ 100 } }) {
     SimulatedLeader leader;
-    const auto beat = [&](const std::string& aInstance, uint64_t aSequence) {
-      return leader.HandleHeartbeat(FromLife(aInstance, life, aSequence));
+    const auto sendHeartbeat = [&](const std::string& aInstance,
+                                   uint64_t aSequence) {
+      return leader.HandleHeartbeat(
+        HeartbeatOf(aInstance, incarnation, aSequence));
     };
     for (uint64_t sequence = 1; sequence <= 4; ++sequence) {
-      beat("a", sequence);
+      sendHeartbeat("a", sequence);
       leader.AdvanceTime(kHeartbeatInterval / 2);
-      beat("b", sequence);
+      sendHeartbeat("b", sequence);
       leader.AdvanceTime(kHeartbeatInterval / 2);
     }
-    const std::string owner = leader.HolderOf(0);
-    beat(owner, 5);
+    const std::string owner = leader.OwnerOf(0);
+    sendHeartbeat(owner, 5);
     for (uint64_t sequence = 3; sequence <= 4; ++sequence) {
       leader.AdvanceTime(kHeartbeatInterval);
-      leader.HandleHeartbeat(FromAddressOf(owner, life / 2, sequence));
+      leader.HandleHeartbeat(
+        HeartbeatFromAddressOf(owner, incarnation / 2, sequence));
     }
-    EXPECT_EQ(leader.HolderOf(0), owner) << "life " << life;
-    EXPECT_TRUE(beat(owner, 6)) << "life " << life;
+    EXPECT_EQ(leader.OwnerOf(0), owner) << "incarnation " << incarnation;
+    EXPECT_TRUE(sendHeartbeat(owner, 6)) << "incarnation " << incarnation;
   }
 }
 
-// Where lives are told apart, one that started later at an address proves that
-// the earlier one there is over, also if its hold is not.
-TEST(RangeAssigner, LaterLifeAtAnAddressEndsTheEarlierOneThere)
+// With incarnation numbers, a later incarnation at the same address proves that
+// the earlier one has ended, even before its lease ends.
+TEST(RangeAssigner, LaterIncarnationAtSameAddressEndsEarlierOne)
 {
   SimulatedLeader leader;
-  SettleLives(leader);
-  const std::string owner = leader.HolderOf(0);
-  leader.HandleHeartbeat(FromAddressOf(owner, 200, 1));
+  AssignKeysToFirstIncarnations(leader);
+  const std::string owner = leader.OwnerOf(0);
+  leader.HandleHeartbeat(HeartbeatFromAddressOf(owner, 200, 1));
   leader.AdvanceTime(kHeartbeatInterval);
-  leader.HandleHeartbeat(FromAddressOf(owner, 200, 2));
-  EXPECT_NE(leader.HolderOf(0), owner);
+  leader.HandleHeartbeat(HeartbeatFromAddressOf(owner, 200, 2));
+  EXPECT_NE(leader.OwnerOf(0), owner);
   EXPECT_TRUE(leader.state.HasEnded(owner, 100));
-  EXPECT_FALSE(leader.HandleHeartbeat(FromLife(owner, 100, 99)));
+  EXPECT_FALSE(leader.HandleHeartbeat(HeartbeatOf(owner, 100, 99)));
 }
 
-// Heartbeats come from a writer that is no upstream of ours: for a service that
-// nobody named, of a known instance under another service, without a life where
-// others tell theirs, from an address that is none. Taken, their sequence would
-// make the true upstream's heartbeats look late, and it would lose its keys.
-TEST(RangeAssigner, HeartbeatsOfOtherWritersChangeNothing)
+// Heartbeats come from a sender that is not an upstream of this deployment: for
+// an unknown service, of a known instance under another service, without an
+// incarnation number where other instances have one, and with an invalid
+// address. If they were accepted, their sequence numbers would make the real
+// upstream's heartbeats look outdated, and it would lose its keys.
+TEST(RangeAssigner, HeartbeatsOfForeignSendersChangeNothing)
 {
   SimulatedLeader leader;
-  SettleLives(leader);
+  AssignKeysToFirstIncarnations(leader);
   const auto before = leader.state.Save().SerializeAsString();
-  Heartbeat unnamed = FromLife("x", 300, 1);
-  unnamed.service = "no-such-service";
-  Heartbeat other = FromLife("a", 100, 900);
-  other.service = "no-such-service";
-  Heartbeat lifeless = HeartbeatFrom("x", 7);
-  Heartbeat known = HeartbeatFrom("a", 900);
-  Heartbeat nowhere = FromLife("x", 300, 1);
-  nowhere.address = "somewhere";
-  for (const Heartbeat& each : { unnamed, other, lifeless, known, nowhere }) {
+  Heartbeat unknownService = HeartbeatOf("x", 300, 1);
+  unknownService.service = "no-such-service";
+  Heartbeat changedService = HeartbeatOf("a", 100, 900);
+  changedService.service = "no-such-service";
+  Heartbeat noIncarnation = HeartbeatFrom("x", 7);
+  Heartbeat knownInstance = HeartbeatFrom("a", 900);
+  Heartbeat invalidAddress = HeartbeatOf("x", 300, 1);
+  invalidAddress.address = "somewhere";
+  for (const Heartbeat& each : { unknownService,
+                                 changedService,
+                                 noIncarnation,
+                                 knownInstance,
+                                 invalidAddress }) {
     EXPECT_EQ(leader.rangeAssigner->Check(each, leader.state).error().code,
               Code::InvalidRecord);
     EXPECT_FALSE(leader.HandleHeartbeat(each));
   }
   EXPECT_EQ(leader.state.Save().SerializeAsString(), before);
-  EXPECT_TRUE(leader.HandleHeartbeat(FromLife("a", 100, 5)));
+  EXPECT_TRUE(leader.HandleHeartbeat(HeartbeatOf("a", 100, 5)));
 }
 
 } // namespace
--- a/src/librattandyke/gateway/range_assigner_test.cpp
+++ b/src/librattandyke/gateway/range_assigner_test.cpp
@@ -14,7 +14,7 @@
 using namespace testing; // NOLINT(google-build-using-namespace)
 using std::chrono::milliseconds;
 
-TEST(RangeAssigner, FirstKeysWaitForAllInstancesAndAreShared)
+TEST(RangeAssigner, FirstGrantWaitsForAllInstancesAndSharesKeys)
 {
   SimulatedLeader leader;
   EXPECT_EQ(CountKeys(leader.HandleHeartbeat(HeartbeatFrom("a", 1))), 0U);
@@ -28,46 +28,46 @@
   EXPECT_GT(second, kKeyCount / 3);
 }
 
-// An instance is cut off from the control hosts and goes on serving until its
-// hold runs out by its own clock, which may be 2% slow. Its keys must not have
-// another owner before, and must have one soon after.
-TEST(RangeAssigner, SilentHoldersKeysAreFreeOnlyOnceItsHoldIsOver)
+// An instance loses its connection to the control hosts and serves until its
+// lease ends by its own clock, which may be 2% slow. Its keys must not have
+// another owner before that, and must have one soon after.
+TEST(RangeAssigner, KeysOfSilentOwnerAreFreedOnlyAfterItsLeaseEnds)
 {
   SimulatedLeader leader;
   AssignKeysToTwo(leader);
   const uint32_t key = leader.state.Ranges("board")->Segments().front().from();
-  const std::string owner = leader.HolderOf(key);
+  const std::string owner = leader.OwnerOf(key);
   const std::string other = owner == "a" ? "b" : "a";
   leader.HandleHeartbeat(HeartbeatFrom(owner, 10));
-  const Instant renewed = leader.now;
+  const Instant renewedAt = leader.now;
   uint64_t sequence = 10;
-  while (leader.HolderOf(key) == owner) {
+  while (leader.OwnerOf(key) == owner) {
     leader.AdvanceTime(milliseconds{ 100 });
     leader.HandleHeartbeat(HeartbeatFrom(other, ++sequence));
   }
-  EXPECT_GE(leader.now - renewed, kLeaseDuration * 100 / 98);
-  EXPECT_LE(leader.now - renewed,
+  EXPECT_GE(leader.now - renewedAt, kLeaseDuration * 100 / 98);
+  EXPECT_LE(leader.now - renewedAt,
             kLeaseDuration * 100 / 98 + milliseconds{ 400 });
 }
 
-// A new leader does not know when its predecessor last renewed a holder. It
-// must wait as if that had been in the instant before.
-TEST(RangeAssigner, NewLeaderWaitsTheLongestHold)
+// A new leader does not know when its predecessor last renewed a lease. It must
+// wait as if every lease had been renewed immediately before the election.
+TEST(RangeAssigner, NewLeaderWaitsForFullLeaseDuration)
 {
   SimulatedLeader leader;
   AssignKeysToTwo(leader);
   leader.AdvanceTime(kLeaseDuration - milliseconds{ 500 });
   leader.FailOver();
-  const std::string owner = leader.HolderOf(0);
+  const std::string owner = leader.OwnerOf(0);
   leader.AdvanceTime(kLeaseDuration);
-  EXPECT_EQ(leader.HolderOf(0), owner);
+  EXPECT_EQ(leader.OwnerOf(0), owner);
   leader.AdvanceTime(kLeaseDuration / 10);
-  EXPECT_EQ(leader.HolderOf(0), "");
+  EXPECT_EQ(leader.OwnerOf(0), "");
 }
 
-// A heartbeat that was held up in the network arrives after a later one. What
-// it says is old; an answer to it must renew nothing.
-TEST(RangeAssigner, LateHeartbeatRenewsNothing)
+// A delayed heartbeat arrives after a later one. Its content is outdated, so an
+// answer to it must not renew the lease.
+TEST(RangeAssigner, OutOfOrderHeartbeatRenewsNoLease)
 {
   SimulatedLeader leader;
   AssignKeysToTwo(leader);
@@ -75,92 +75,93 @@
   EXPECT_FALSE(leader.HandleHeartbeat(HeartbeatFrom("a", 8)));
 }
 
-// A release is reported, and the keys are granted to the same instance again.
-// The report arrives a second time, by way of a new leader that knows no
-// sequence. It speaks of the earlier hold and must free nothing.
-TEST(RangeAssigner, ReleaseFromBeforeTheGrantFreesNothing)
+// An instance reports a release, and the keys are granted to it again. The same
+// report arrives a second time, at a new leader that does not know the
+// instance's sequence number. It refers to the earlier lease and must free no
+// keys.
+TEST(RangeAssigner, ReleaseSentBeforeGrantFreesNoKeys)
 {
   SimulatedLeader leader;
   AssignKeysToTwo(leader);
   Heartbeat release = HeartbeatFrom("a", 6);
   release.released = { { { 0, kMaxKey }, "h" } };
   leader.HandleHeartbeat(release);
-  EXPECT_NE(leader.HolderOf(0), "a");
+  EXPECT_NE(leader.OwnerOf(0), "a");
   leader.AdvanceTime(milliseconds{ 100 });
-  // Only "a" is left: "b" leaves.
-  Heartbeat leaving = HeartbeatFrom("b", 6);
-  leaving.draining = true;
-  leader.HandleHeartbeat(leaving);
-  leaving.sequence = 7;
-  leaving.released = { { { 0, kMaxKey }, "h" } };
-  leader.HandleHeartbeat(leaving);
+  // "b" drains and releases its keys, so that only "a" can own them.
+  Heartbeat drainingHeartbeat = HeartbeatFrom("b", 6);
+  drainingHeartbeat.draining = true;
+  leader.HandleHeartbeat(drainingHeartbeat);
+  drainingHeartbeat.sequence = 7;
+  drainingHeartbeat.released = { { { 0, kMaxKey }, "h" } };
+  leader.HandleHeartbeat(drainingHeartbeat);
   leader.AdvanceTime(std::chrono::seconds{ 2 });
   for (uint64_t sequence = 7; sequence < 12; ++sequence) {
     leader.HandleHeartbeat(HeartbeatFrom("a", sequence));
     leader.AdvanceTime(kHeartbeatInterval);
   }
-  ASSERT_EQ(leader.HolderOf(0), "a");
+  ASSERT_EQ(leader.OwnerOf(0), "a");
   leader.FailOver();
   leader.HandleHeartbeat(release);
-  EXPECT_EQ(leader.HolderOf(0), "a");
+  EXPECT_EQ(leader.OwnerOf(0), "a");
 }
 
-// A process crashes and a new one starts at its address. The old one has ended,
-// so its keys can be given away at once; but a single heartbeat may be one of
-// an even older process that was held up, while the present one lives.
-TEST(RangeAssigner, OneHeartbeatAtAnAddressDoesNotEndTheInstanceThere)
+// A process crashes and a new one starts at its address, so the old one's keys
+// can be freed early. But a single heartbeat from the address may be a delayed
+// one of an even older process, while the current process runs.
+TEST(RangeAssigner, SingleHeartbeatFromSameAddressDoesNotEndInstance)
 {
   SimulatedLeader leader;
   AssignKeysToTwo(leader);
-  const std::string owner = leader.HolderOf(0);
-  Heartbeat stranger = HeartbeatFrom("x", 3);
-  stranger.address = HeartbeatFrom(owner, 1).address;
-  leader.HandleHeartbeat(stranger);
-  EXPECT_EQ(leader.HolderOf(0), owner);
+  const std::string owner = leader.OwnerOf(0);
+  Heartbeat otherProcess = HeartbeatFrom("x", 3);
+  otherProcess.address = HeartbeatFrom(owner, 1).address;
+  leader.HandleHeartbeat(otherProcess);
+  EXPECT_EQ(leader.OwnerOf(0), owner);
   leader.AdvanceTime(kHeartbeatInterval);
   leader.HandleHeartbeat(HeartbeatFrom(owner, 9));
-  stranger.sequence = 4;
-  leader.HandleHeartbeat(stranger);
-  EXPECT_EQ(leader.HolderOf(0), owner);
+  otherProcess.sequence = 4;
+  leader.HandleHeartbeat(otherProcess);
+  EXPECT_EQ(leader.OwnerOf(0), owner);
 }
 
-// The old one sends nothing more, but where lives are not told that is no proof
-// that it has ended: its keys stay its own until its hold is over, and no
+// The old process is silent, but without incarnation numbers that does not
+// prove that it has ended. It keeps its keys until its lease ends, and no
 // longer.
-TEST(RangeAssigner, NewProcessAtAnAddressEndsTheOldOneOnceItsHoldIsOver)
+TEST(RangeAssigner, NewProcessAtSameAddressEndsOldOneAfterItsLease)
 {
   SimulatedLeader leader;
   AssignKeysToTwo(leader);
-  const std::string owner = leader.HolderOf(0);
+  const std::string owner = leader.OwnerOf(0);
   leader.HandleHeartbeat(HeartbeatFrom(owner, 9));
-  const Instant renewed = leader.now;
+  const Instant renewedAt = leader.now;
   Heartbeat successor = HeartbeatFrom("x", 1);
   successor.address = HeartbeatFrom(owner, 1).address;
   while (!leader.state.HasEnded(owner, 0)) {
-    ASSERT_LE(leader.now - renewed,
+    ASSERT_LE(leader.now - renewedAt,
               kLeaseDuration * 100 / 98 + milliseconds{ 400 });
     leader.AdvanceTime(milliseconds{ 100 });
     leader.HandleHeartbeat(successor);
     ++successor.sequence;
   }
-  EXPECT_GE(leader.now - renewed, kLeaseDuration * 100 / 98);
-  EXPECT_NE(leader.HolderOf(0), owner);
+  EXPECT_GE(leader.now - renewedAt, kLeaseDuration * 100 / 98);
+  EXPECT_NE(leader.OwnerOf(0), owner);
   EXPECT_FALSE(leader.HandleHeartbeat(HeartbeatFrom(owner, 99)));
 }
 
-TEST(RangeAssigner, DrainingInstanceIsLeftNothing)
+TEST(RangeAssigner, DrainingInstanceIsGrantedNoKeys)
 {
   SimulatedLeader leader;
   AssignKeysToTwo(leader);
-  Heartbeat leaving = HeartbeatFrom("a", 9);
-  leaving.draining = true;
-  const auto grants = leader.HandleHeartbeat(leaving);
+  Heartbeat drainingHeartbeat = HeartbeatFrom("a", 9);
+  drainingHeartbeat.draining = true;
+  const auto grants = leader.HandleHeartbeat(drainingHeartbeat);
   ASSERT_TRUE(grants);
   EXPECT_TRUE(grants->ranges.empty());
 }
 
-/// An upstream's own view of its hold, by a clock that runs 2% slow.
-struct Holder
+/// An upstream's view of its lease, by a clock that runs 2% slow.
+struct SimulatedUpstream
 {
   std::string id;
   uint64_t life = 1;
@@ -168,17 +169,17 @@
   bool alive = true;
   std::vector<GrantedRange> held;
   std::vector<ReleasedRange> released;
-  Instant ends{};
+  Instant leaseEnd{};
 
   bool Holds(uint32_t aKey, Instant aNow) const
   {
-    return alive && aNow < ends &&
+    return alive && aNow < leaseEnd &&
            std::any_of(held.begin(), held.end(), [&](const auto& aRange) {
              return aRange.keys.from <= aKey && aKey <= aRange.keys.to;
            });
   }
 
-  Heartbeat Beat()
+  Heartbeat NextHeartbeat()
   {
     Heartbeat heartbeat = HeartbeatFrom(id, ++sequence);
     heartbeat.life = life;
@@ -186,19 +187,19 @@
     return heartbeat;
   }
 
-  void Take(const Heartbeat& aHeartbeat,
-            const std::optional<Grants>& aGrants,
-            Instant aSent,
-            Instant aNow)
+  void OnAnswer(const Heartbeat& aHeartbeat,
+                const std::optional<Grants>& aGrants,
+                Instant aSent,
+                Instant aNow)
   {
     if (aHeartbeat.sequence != sequence) {
-      return; // A later one is under way: the answer counts for nothing.
+      return; // A later heartbeat is in flight: the answer is ignored.
     }
     released.clear();
     if (!aGrants) {
       return;
     }
-    if (aNow < ends) {
+    if (aNow < leaseEnd) {
       for (const GrantedRange& range : held) {
         const bool kept = std::any_of(aGrants->ranges.begin(),
                                       aGrants->ranges.end(),
@@ -212,8 +213,8 @@
       }
     }
     held = aGrants->ranges;
-    ends = aSent + aGrants->leaseDuration * 100 / 98;
-    // What is reported released may not be held any more.
+    leaseEnd = aSent + aGrants->leaseDuration * 100 / 98;
+    // Keys that are granted again are not reported as released.
     std::erase_if(released, [&](const ReleasedRange& aReleased) {
       return std::any_of(held.begin(), held.end(), [&](const auto& aRange) {
         return aRange.keys.from <= aReleased.keys.to &&
@@ -223,11 +224,11 @@
   }
 };
 
-// Four upstreams with slow clocks send heartbeats. Answers are lost or late,
-// upstreams crash, start again under their ids or others at their addresses,
-// heartbeats of processes that ran there before come late, leaders change, and
-// loads make keys move. At no moment may two upstreams hold the same key, and a
-// key that changes hands must do so with a higher fence.
+// Four upstreams with slow clocks send heartbeats. Answers are lost or delayed,
+// upstreams crash and restart under their ids or are replaced at their
+// addresses, heartbeats of earlier processes at an address arrive late, leaders
+// change, and load causes moves of keys. No two upstreams may hold a key at the
+// same time, and the fence of a key must rise with each change of its owner.
 RC_GTEST_PROP(RangeAssigner, NoKeyHasTwoOwnersInAnySchedule, ())
 {
   SimulatedLeader leader;
@@ -235,60 +236,60 @@
   const auto chance = [&](unsigned aPercent) {
     return random() % 100 < aPercent;
   };
-  struct Pending
+  struct PendingAnswer
   {
-    size_t holder = 0;
+    size_t upstream = 0;
     Heartbeat heartbeat;
     std::optional<Grants> grants;
     Instant sent{};
     Instant arrives{};
   };
-  constexpr uint64_t kEarlierLife = 1;
-  constexpr uint64_t kFirstLife = 2;
-  uint64_t earlier = 0;
-  std::vector<Holder> holders;
+  constexpr uint64_t kEarlierIncarnation = 1;
+  constexpr uint64_t kFirstIncarnation = 2;
+  uint64_t earlierSequence = 0;
+  std::vector<SimulatedUpstream> upstreams;
   for (const char* id : { "a", "b", "c", "d" }) {
-    holders.push_back({ id, kFirstLife, 0, true, {}, {}, {} });
+    upstreams.push_back({ id, kFirstIncarnation, 0, true, {}, {}, {} });
   }
-  std::deque<Pending> answers;
-  std::deque<std::pair<size_t, Heartbeat>> heldUp;
-  std::map<uint32_t, std::pair<std::string, uint64_t>> last;
+  std::deque<PendingAnswer> pendingAnswers;
+  std::deque<std::pair<size_t, Heartbeat>> delayed;
+  std::map<uint32_t, std::pair<std::string, uint64_t>> lastOwners;
   for (int step = 0; step < 250; ++step) {
-    const size_t which = random() % holders.size();
-    Holder& holder = holders[which];
-    if (holder.alive && chance(60)) {
+    const size_t index = random() % upstreams.size();
+    SimulatedUpstream& upstream = upstreams[index];
+    if (upstream.alive && chance(60)) {
       const Instant sent = leader.now;
-      const Heartbeat heartbeat = holder.Beat();
+      const Heartbeat heartbeat = upstream.NextHeartbeat();
       if (chance(10)) {
-        heldUp.emplace_back(which, heartbeat);
+        delayed.emplace_back(index, heartbeat);
       } else {
         leader.AdvanceTime(milliseconds(random() % 30));
         const auto grants = leader.HandleHeartbeat(heartbeat);
         if (!chance(15)) {
           const auto delay = milliseconds(chance(20) ? random() % 900 : 5);
-          answers.push_back(
-            { which, heartbeat, grants, sent, leader.now + delay });
+          pendingAnswers.push_back(
+            { index, heartbeat, grants, sent, leader.now + delay });
         }
       }
     }
-    if (!heldUp.empty() && chance(10)) {
-      leader.HandleHeartbeat(heldUp.front().second);
-      heldUp.pop_front();
+    if (!delayed.empty() && chance(10)) {
+      leader.HandleHeartbeat(delayed.front().second);
+      delayed.pop_front();
     }
     if (chance(10)) {
-      Heartbeat late = HeartbeatFrom("old", ++earlier);
-      late.address = HeartbeatFrom(holders.front().id, 1).address;
-      late.life = kEarlierLife;
+      Heartbeat late = HeartbeatFrom("old", ++earlierSequence);
+      late.address = HeartbeatFrom(upstreams.front().id, 1).address;
+      late.life = kEarlierIncarnation;
       leader.HandleHeartbeat(late);
     }
     if (chance(3)) {
       leader.FailOver();
     }
     if (chance(3)) {
-      holder = { holder.id + "x", kFirstLife, 0, true, {}, {}, {} };
+      upstream = { upstream.id + "x", kFirstIncarnation, 0, true, {}, {}, {} };
     }
     if (chance(3)) {
-      holder = { holder.id, holder.life + 1, 0, true, {}, {}, {} };
+      upstream = { upstream.id, upstream.life + 1, 0, true, {}, {}, {} };
     }
     if (chance(20)) {
       wire::RangeLoad load;
@@ -298,24 +299,24 @@
       leader.rangeAssigner->AddLoad(load);
     }
     leader.AdvanceTime(milliseconds(random() % 250));
-    for (auto at = answers.begin(); at != answers.end();) {
+    for (auto at = pendingAnswers.begin(); at != pendingAnswers.end();) {
       if (at->arrives > leader.now) {
         ++at;
         continue;
       }
-      Holder& taker = holders[at->holder];
-      if (taker.id == at->heartbeat.instance &&
-          taker.life == at->heartbeat.life) {
-        taker.Take(at->heartbeat, at->grants, at->sent, leader.now);
+      SimulatedUpstream& receiver = upstreams[at->upstream];
+      if (receiver.id == at->heartbeat.instance &&
+          receiver.life == at->heartbeat.life) {
+        receiver.OnAnswer(at->heartbeat, at->grants, at->sent, leader.now);
       }
-      at = answers.erase(at);
+      at = pendingAnswers.erase(at);
     }
     for (uint32_t key = 0; key < kKeyCount; key += 499) {
-      size_t owners = 0;
-      for (const Holder& each : holders) {
-        owners += each.Holds(key, leader.now) ? 1 : 0;
+      size_t ownerCount = 0;
+      for (const SimulatedUpstream& each : upstreams) {
+        ownerCount += each.Holds(key, leader.now) ? 1 : 0;
       }
-      RC_ASSERT(owners <= 1U);
+      RC_ASSERT(ownerCount <= 1U);
     }
     for (uint32_t key = 0; key < kKeyCount; key += 997) {
       const RangeTable* ranges = leader.state.Ranges("board");
@@ -323,7 +324,7 @@
         continue;
       }
       const auto& segment = ranges->Find(key);
-      auto& [owner, fence] = last[key];
+      auto& [owner, fence] = lastOwners[key];
       RC_ASSERT(owner == segment.holder() || segment.fence() > fence);
       owner = segment.holder();
       fence = segment.fence();
@@ -331,9 +332,9 @@
   }
 }
 
-// Guards against keys that nobody serves for ever: a grant was committed, its
-// heartbeat got no answer, and the holder crashed before the next one.
-TEST(RangeAssigner, KeysOfAGrantThatWasNeverRenewedAreFreed)
+// Guards against keys that stay without service: a grant is committed, the
+// heartbeat gets no answer, and the owner crashes before it sends the next one.
+TEST(RangeAssigner, KeysOfUnrenewedGrantAreFreed)
 {
   SimulatedLeader leader;
   leader.HandleHeartbeat(HeartbeatFrom("a", 1));
@@ -346,9 +347,9 @@
   ASSERT_TRUE(grant);
   leader.Commit({ *grant });
   const uint32_t key = grant->grant_ranges().ranges(0).from();
-  EXPECT_EQ(leader.HolderOf(key), "b");
+  EXPECT_EQ(leader.OwnerOf(key), "b");
   leader.AdvanceTime(kLeaseDuration);
-  EXPECT_NE(leader.HolderOf(key), "b");
+  EXPECT_NE(leader.OwnerOf(key), "b");
 }
 
 } // namespace
--- a/src/testing/simulated_leader.h
+++ b/src/testing/simulated_leader.h
@@ -1,4 +1,4 @@
-/// A leader's granter with its state, for tests.
+/// Leading control host with a simulated clock, for tests of RangeAssigner.
 #pragma once
 
 #include <optional>
@@ -16,7 +16,8 @@
                                                   kHeartbeatInterval,
                                                   std::chrono::seconds{ 30 } };
 
-/// A leader and its state; commands are committed at once.
+/// A leader's RangeAssigner, state and clock. Commands are committed
+/// immediately.
 class SimulatedLeader
 {
 public:
@@ -40,7 +41,8 @@
     }
   }
 
-  /// As a control host answers a heartbeat.
+  /// Processes a heartbeat as a control host does.
+  /// @return the answer's grants; std::nullopt if it does not renew the lease.
   std::optional<Grants> HandleHeartbeat(const Heartbeat& aHeartbeat)
   {
     if (!rangeAssigner->Check(aHeartbeat, state)) {
@@ -53,6 +55,7 @@
     return rangeAssigner->RenewLease(aHeartbeat, state, now);
   }
 
+  /// Advances the clock, with a tick every RangeAssigner::kTick.
   void AdvanceTime(Duration aTime)
   {
     for (const Instant end = now + aTime; now < end;) {
@@ -61,14 +64,15 @@
     }
   }
 
-  /// Another host takes over: it knows the state and nothing else.
+  /// Replaces the leader by a new one, which knows only the replicated state.
   void FailOver()
   {
     rangeAssigner.emplace(kOptions);
     rangeAssigner->OnElected(state, now);
   }
 
-  std::string HolderOf(uint32_t aKey) const
+  /// @return the owner of a key; empty if it has none.
+  std::string OwnerOf(uint32_t aKey) const
   {
     const RangeTable* ranges = state.Ranges("board");
     return ranges == nullptr ? "" : ranges->Find(aKey).holder();
@@ -80,6 +84,8 @@
   std::optional<RangeAssigner> rangeAssigner;
 };
 
+/// @return a heartbeat of an instance of service "board" with two slots and
+/// without an incarnation number.
 inline Heartbeat
 HeartbeatFrom(const std::string& aInstance, uint64_t aSequence)
 {
@@ -104,7 +110,7 @@
   return keys;
 }
 
-/// Announces two instances until they share all keys.
+/// Sends heartbeats of instances "a" and "b" until they own all keys.
 inline void
 AssignKeysToTwo(SimulatedLeader& aLeader)
 {
