--- a/src/librattandyke/gateway/caller_connection.cpp
+++ b/src/librattandyke/gateway/caller_connection.cpp
@@ -217,7 +217,7 @@
 }
 
 void
-CallerConnection::ExpireRequest()
+CallerConnection::ExpireRequests()
 {
   if (mWatchedRequest) {
     mWatchedRequest->OnHostShutdown();
--- a/src/librattandyke/gateway/caller_connection.h
+++ b/src/librattandyke/gateway/caller_connection.h
@@ -53,7 +53,7 @@
 
   /// Drains the connection without waiting for its request: a request that is
   /// handled is cancelled, one that has partly arrived is no longer read.
-  void ExpireRequest();
+  void ExpireRequests();
 
   /// @return whether the connection closes after its next response.
   bool IsDraining() const { return mDraining; }
--- a/src/librattandyke/gateway/caller_connection_test.cpp
+++ b/src/librattandyke/gateway/caller_connection_test.cpp
@@ -30,7 +30,7 @@
     tcp::acceptor acceptor(context, { asio::ip::address_v4::loopback(), 0 });
     caller.connect(acceptor.local_endpoint());
     tcp::socket accepted = acceptor.accept();
-    handle = accepted.native_handle();
+    descriptor = accepted.native_handle();
     connection = std::make_shared<CallerConnection>(std::move(accepted), clock);
   }
 
@@ -39,7 +39,7 @@
     asio::write(caller, asio::buffer(aText));
   }
 
-  /// Begins to read and lets all handlers run that can run.
+  /// Starts a read and runs all handlers that are ready.
   void BeginRead(Duration aIdleTimeout = std::chrono::seconds{ 9 })
   {
     context.restart();
@@ -50,28 +50,28 @@
   asio::awaitable<void> ReadRequest(Duration aIdleTimeout)
   {
     error = co_await connection->ReadRequest(*parser, aIdleTimeout);
-    over = true;
+    finished = true;
   }
 
-  /// Runs until the read is over.
+  /// Runs until the read has finished.
   void Finish()
   {
-    while (!over && context.run_one() > 0) {
+    while (!finished && context.run_one() > 0) {
     }
   }
 
   testing::SteppedClock clock;
   asio::io_context context;
   tcp::socket caller{ context };
-  /// Of the connection's socket.
-  int handle = -1;
+  /// Descriptor of the connection's socket.
+  int descriptor = -1;
   std::shared_ptr<CallerConnection> connection;
   std::optional<CallerConnection::Parser> parser{ std::in_place };
   ErrorCode error;
-  bool over = false;
+  bool finished = false;
 };
 
-TEST_F(CallerConnectionTest, IdleConnectionEnds)
+TEST_F(CallerConnectionTest, DrainEndsIdleConnection)
 {
   BeginRead();
   connection->Drain();
@@ -80,10 +80,11 @@
   EXPECT_TRUE(connection->IsDraining());
 }
 
-// The host leaves: it ends its idle connections. In that moment a request has
-// arrived on one of them and has not been read. Its caller may not repeat it,
-// and gets its answer; the connection ends with that.
-TEST_F(CallerConnectionTest, RequestThatArrivesAsTheConnectionEndsIsRead)
+// Guards against the loss of a request that arrives as the connection is
+// drained: the host shuts down, and a request has arrived on an idle connection
+// but has not been read. The request must be read; the connection closes after
+// its response.
+TEST_F(CallerConnectionTest, RequestArrivingAtDrainIsRead)
 {
   BeginRead();
   Send("GET /x HTTP/1.1\r\nHost: h\r\n\r\n");
@@ -94,19 +95,19 @@
   EXPECT_TRUE(connection->IsDraining());
 }
 
-// The same while half of its head, or of its body, has been read before.
-TEST_F(CallerConnectionTest, RequestThatIsArrivingIsReadToItsEnd)
+// The same when part of the head or of the body has already been read.
+TEST_F(CallerConnectionTest, PartlyReadRequestIsReadToItsEndAfterDrain)
 {
   const std::string whole =
     "POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 8\r\n\r\n12345678";
   for (const size_t sent : { size_t{ 9 }, whole.size() - 4 }) {
     Send(whole.substr(0, sent));
     parser.emplace();
-    over = false;
+    finished = false;
     BeginRead();
     connection->Drain();
     context.poll();
-    EXPECT_FALSE(over);
+    EXPECT_FALSE(finished);
     Send(whole.substr(sent));
     Finish();
     EXPECT_FALSE(error);
@@ -114,20 +115,19 @@
   }
 }
 
-class CallerConnectionEndTest
+class CallerConnectionDrainTest
   : public CallerConnectionTest
   , public ::testing::WithParamInterface<int>
 {};
 
-// The caller sees its connection closed with no answer, a third of a second
-// after it sent a whole request on it. While a large change of the
-// configuration held the host up, the connection had been idle for too long.
-// Then the host read the request, in two reads, and ended the connection
-// between the second one and the work on what it had read: all three were due
-// at the same moment. Wherever the end falls, the request must be read.
-TEST_P(CallerConnectionEndTest, RequestOfTwoReadsIsReadWholeWhereverTheEndFalls)
+// Guards against a connection that is closed without a response a third of a
+// second after its caller sent a whole request. A large configuration change
+// delayed the host until the idle timeout had expired. Then the host read the
+// request in two reads and drained the connection after the second read, before
+// it handled the data. The request must be read whenever the drain happens.
+TEST_P(CallerConnectionDrainTest, RequestInTwoReadsSurvivesDrainAtAnyStep)
 {
-  // More than is read at once at first.
+  // Larger than the first read.
   const std::string body(900, 'b');
   BeginRead(Duration::zero());
   Send("POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 900\r\n\r\n" + body);
@@ -141,12 +141,12 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(AfterHandlers,
-                         CallerConnectionEndTest,
+                         CallerConnectionDrainTest,
                          ::testing::Range(0, 5));
 
-// A caller begins a request and sends no more of it. The connection is not kept
-// for longer than an idle one.
-TEST_F(CallerConnectionTest, RequestThatNeverArrivesWholeEndsWithTheIdleTime)
+// Guards against a connection that is kept after its idle timeout because the
+// caller sent only the beginning of a request.
+TEST_F(CallerConnectionTest, IncompleteRequestEndsWithIdleTimeout)
 {
   Send("GET /x HT");
   BeginRead(Duration::zero());
@@ -155,19 +155,18 @@
   EXPECT_EQ(error, asio::error::operation_aborted);
 }
 
-// The host ends an idle connection between two of its reads, or before its
-// first one: nothing is there that could be cut short. Were the end forgotten,
-// the connection would stay, and the host would wait for it until it is killed.
-TEST_F(CallerConnectionTest, EndBeforeTheReadIsNotLost)
+// Guards against a shutdown that never completes: the host drains a connection
+// between two reads, when there is no read to cancel. The next read must end.
+TEST_F(CallerConnectionTest, DrainBeforeReadEndsTheRead)
 {
   connection->Drain();
   BeginRead();
-  EXPECT_TRUE(over);
+  EXPECT_TRUE(finished);
   EXPECT_EQ(error, asio::error::operation_aborted);
 }
 
-// The same with a request that has arrived by then: it is read.
-TEST_F(CallerConnectionTest, EndBeforeTheReadOfARequestThatIsHere)
+// The same when a request has arrived by then: it is read.
+TEST_F(CallerConnectionTest, DrainBeforeReadKeepsArrivedRequest)
 {
   connection->Drain();
   Send("GET /x HTTP/1.1\r\nHost: h\r\n\r\n");
@@ -176,42 +175,42 @@
   EXPECT_FALSE(error);
 }
 
-// A caller asks whether it shall send its body. Its link is held up, and the
-// answer to that waits in the send buffer when the host leaves. The caller
-// waits for the word; without it the request ends half read.
-TEST_F(CallerConnectionTest, EndDoesNotCutTheWordThatABodyMayCome)
+// Guards against a request that is never read to its end: the caller waits for
+// 100 Continue before it sends its body, its link is delayed, and the response
+// is still in the send buffer when the host drains the connection.
+TEST_F(CallerConnectionTest, DrainDoesNotCancelContinueResponse)
 {
   Send("POST /x HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\n"
        "Content-Length: 4\r\n\r\n");
   const std::string filler(65536, '.');
-  while (send(handle, filler.data(), filler.size(), MSG_DONTWAIT) > 0) {
+  while (send(descriptor, filler.data(), filler.size(), MSG_DONTWAIT) > 0) {
   }
   BeginRead();
   connection->Drain();
   context.poll();
-  EXPECT_FALSE(over);
-  std::string got;
+  EXPECT_FALSE(finished);
+  std::string received;
   caller.non_blocking(true);
   constexpr int kMostRounds = 2000;
-  for (int round = 0; round < kMostRounds && !got.ends_with("\r\n\r\n");
+  for (int round = 0; round < kMostRounds && !received.ends_with("\r\n\r\n");
        ++round) {
     std::array<char, 65536> bytes;
-    ErrorCode ignored; // Nothing may be there in this round.
+    ErrorCode ignored; // There may be no data in this round.
     const size_t read = caller.read_some(asio::buffer(bytes), ignored);
-    got.append(bytes.data(), read);
+    received.append(bytes.data(), read);
     context.run_for(std::chrono::milliseconds{ 1 });
   }
-  EXPECT_TRUE(got.ends_with("HTTP/1.1 100 Continue\r\n\r\n"));
+  EXPECT_TRUE(received.ends_with("HTTP/1.1 100 Continue\r\n\r\n"));
   Send("1234");
   Finish();
   EXPECT_FALSE(error);
   EXPECT_EQ(parser->get().body(), "1234");
 }
 
-// A link is held up: a request begins to arrive just before its connection has
-// been idle for too long, and the rest of it just after. The caller kept to the
-// idle time; it gets its answer.
-TEST_F(CallerConnectionTest, RequestThatBeganWithinTheIdleTimeIsReadToItsEnd)
+// Guards against the loss of a request on a delayed link: it begins to arrive
+// just before the idle timeout, and the rest arrives just after. The caller has
+// respected the idle timeout.
+TEST_F(CallerConnectionTest, RequestStartedBeforeIdleTimeoutIsReadToItsEnd)
 {
   BeginRead(std::chrono::seconds{ 9 });
   clock.Step(std::chrono::milliseconds{ 8990 });
@@ -221,15 +220,15 @@
   ASSERT_TRUE(connection->IsIdleTooLong(clock.Now()));
   connection->Drain();
   context.poll();
-  EXPECT_FALSE(over);
+  EXPECT_FALSE(finished);
   Send("TP/1.1\r\nHost: h\r\n\r\n");
   Finish();
   EXPECT_FALSE(error);
 }
 
-// The same, but the rest never comes: the connection is not kept for longer
-// than an idle one.
-TEST_F(CallerConnectionTest, RequestThatBeganWithinTheIdleTimeIsNotKeptForEver)
+// The same when the rest never arrives: the connection gets one more idle
+// timeout, not more.
+TEST_F(CallerConnectionTest, IncompleteRequestGetsOneMoreIdleTimeout)
 {
   BeginRead(std::chrono::seconds{ 9 });
   clock.Step(std::chrono::milliseconds{ 8990 });
@@ -237,42 +236,43 @@
   context.poll();
   for (int sweep = 0; sweep < 2; ++sweep) {
     clock.Step(std::chrono::seconds{ 9 });
-    ASSERT_TRUE(over || connection->IsIdleTooLong(clock.Now()));
+    ASSERT_TRUE(finished || connection->IsIdleTooLong(clock.Now()));
     connection->Drain();
     context.poll();
   }
-  EXPECT_TRUE(over);
+  EXPECT_TRUE(finished);
   EXPECT_EQ(error, asio::error::operation_aborted);
 }
 
-// The kernel reports that something can be read, and by the time in which the
-// report is handled it has been taken: nothing is there, and the caller has not
-// left. Taken for its end, a request that was read whole would get no answer.
-TEST_F(CallerConnectionTest, EventWithNothingToReadIsNotTheCallersEnd)
+// Guards against a request that is cancelled by a spurious readiness event: the
+// kernel reports the socket as readable, but when the event is handled another
+// reader has consumed the data, and the caller is still connected.
+TEST_F(CallerConnectionTest, SpuriousReadinessIsNoDisconnect)
 {
   tcp::acceptor acceptor(context, { asio::ip::address_v4::loopback(), 0 });
   tcp::socket signal(context);
   signal.connect(acceptor.local_endpoint());
-  tcp::socket taker = acceptor.accept();
-  std::array<char, 9> taken;
-  ssize_t got = 0;
-  taker.async_wait(tcp::socket::wait_read, [&](ErrorCode) {
-    got = recv(handle, taken.data(), taken.size(), MSG_DONTWAIT);
+  tcp::socket trigger = acceptor.accept();
+  std::array<char, 9> consumed;
+  ssize_t received = 0;
+  trigger.async_wait(tcp::socket::wait_read, [&](ErrorCode) {
+    received = recv(descriptor, consumed.data(), consumed.size(), MSG_DONTWAIT);
   });
   const auto request = std::make_shared<RequestContext>(context.get_executor());
   connection->WatchForDisconnect(request);
-  asio::write(signal, asio::buffer("1", 1)); // Handled first: it came first.
+  asio::write(signal, asio::buffer("1", 1)); // This event is handled first.
   Send("2");
   context.poll();
-  ASSERT_EQ(got, 1);
+  ASSERT_EQ(received, 1);
   EXPECT_FALSE(request->HasCallerDisconnected());
   caller.close();
   context.restart();
   context.poll();
-  EXPECT_TRUE(request->HasCallerDisconnected()) << "it is watched on";
+  EXPECT_TRUE(request->HasCallerDisconnected())
+    << "the connection is no longer watched";
 }
 
-TEST_F(CallerConnectionTest, CallerThatClosesIsNoticed)
+TEST_F(CallerConnectionTest, CloseByCallerIsDetected)
 {
   const auto request = std::make_shared<RequestContext>(context.get_executor());
   connection->WatchForDisconnect(request);
@@ -284,7 +284,7 @@
   EXPECT_TRUE(request->HasCallerDisconnected());
 }
 
-TEST_F(CallerConnectionTest, CallerWhoseConnectionIsResetIsNoticed)
+TEST_F(CallerConnectionTest, ResetByCallerIsDetected)
 {
   const auto request = std::make_shared<RequestContext>(context.get_executor());
   connection->WatchForDisconnect(request);
@@ -294,7 +294,7 @@
   EXPECT_TRUE(request->HasCallerDisconnected());
 }
 
-TEST_F(CallerConnectionTest, ConnectionWithARequestIsNotIdle)
+TEST_F(CallerConnectionTest, ConnectionHandlingRequestIsNotIdle)
 {
   Send("GET /x HTTP/1.1\r\nHost: h\r\n\r\n");
   BeginRead(Duration::zero());
--- a/src/librattandyke/gateway/caller_server.cpp
+++ b/src/librattandyke/gateway/caller_server.cpp
@@ -189,22 +189,22 @@
                               Connection aConnection,
                               Owner aOwner)
 {
-  CloseResult end;
+  CloseResult closed;
   std::string failure;
-  while (!end) {
+  while (!closed) {
     try {
-      end = co_await aSelf->ServeNextRequest(aConnection);
+      closed = co_await aSelf->ServeNextRequest(aConnection);
     } catch (const std::exception& exception) {
       failure = exception.what();
-      end = CloseEvent{ CloseReason::InternalError };
+      closed = CloseEvent{ CloseReason::InternalError };
     }
   }
   if (!failure.empty()) {
     log::Line(log::Part::Entry, log::Severity::Error)
       << "serving a caller's connection failed: " << failure;
   }
-  aSelf->RecordClose(*aConnection, *end);
-  co_await aSelf->LingerAfterResponse(aConnection, end->reason);
+  aSelf->RecordClose(*aConnection, *closed);
+  co_await aSelf->LingerAfterResponse(aConnection, closed->reason);
   aConnection->Close();
   aSelf->mConnections.erase(aConnection);
 }
@@ -238,14 +238,14 @@
   if (mRequestsExpired) { // It arrived after ExpireRequests().
     context->OnHostShutdown();
   }
-  CloseEvent end{ CloseReason::ResponseSent, id };
+  CloseEvent closed{ CloseReason::ResponseSent, id };
   const CallerResponse response =
-    co_await HandleOrFail(context, std::move(request), end.reason);
+    co_await HandleOrFail(context, std::move(request), closed.reason);
   aConnection->StopWatching();
   if (context->HasCallerDisconnected()) {
-    end.reason = CloseReason::CallerDisconnected;
+    closed.reason = CloseReason::CallerDisconnected;
   }
-  const bool keepOpen = end.reason == CloseReason::ResponseSent &&
+  const bool keepOpen = closed.reason == CloseReason::ResponseSent &&
                         wantsKeepAlive && !mStopping &&
                         !aConnection->IsDraining();
   // Also written if the caller seems to have disconnected: it may have shut
@@ -254,14 +254,14 @@
   const std::string text = SerializeResponse(
     response, keepOpen ? std::optional(keepAlive) : std::nullopt, isHead);
   const bool written = co_await aConnection->WriteResponse(text);
-  end.handlingTime = mClock.Now() - arrived;
-  if (!written && end.reason == CloseReason::ResponseSent) {
-    end.reason = CloseReason::WriteFailed;
+  closed.handlingTime = mClock.Now() - arrived;
+  if (!written && closed.reason == CloseReason::ResponseSent) {
+    closed.reason = CloseReason::WriteFailed;
   }
   if (written && keepOpen) {
     co_return std::nullopt;
   }
-  co_return end;
+  co_return closed;
 }
 
 /// Handles a request and converts an exception into an error response.
@@ -388,7 +388,7 @@
 {
   mRequestsExpired = true;
   for (const Connection& connection : mConnections) {
-    connection->ExpireRequest();
+    connection->ExpireRequests();
   }
 }
 
--- a/src/librattandyke/gateway/caller_server_test.cpp
+++ b/src/librattandyke/gateway/caller_server_test.cpp
@@ -30,14 +30,14 @@
 using std::chrono::seconds;
 using ErrorCode = boost::system::error_code;
 
-/// Keeps requests until it is told to answer them, or until they are over.
-class FakeService final : public CallerRequestHandler
+/// Request handler that holds requests until Release() or their cancellation.
+class FakeRequestHandler final : public CallerRequestHandler
 {
 public:
   CallerLimits Limits() const override
   {
-    if (unsound) {
-      throw std::runtime_error("a fault");
+    if (throwInLimits) {
+      throw std::runtime_error("test exception");
     }
     return limits;
   }
@@ -47,21 +47,21 @@
     CallerRequest aRequest) override
   {
     ++handled;
-    if (fails) {
-      throw std::runtime_error("a fault");
+    if (throwInHandle) {
+      throw std::runtime_error("test exception");
     }
     current = aContext;
-    while (held && !aContext->IsCancelled()) {
+    while (holdRequests && !aContext->IsCancelled()) {
       aContext->WakeTimer().expires_at(asio::steady_timer::time_point::max());
       co_await aContext->WakeTimer().async_wait(http::kAwait);
     }
     co_return CallerResponse{ aContext->IsCancelled() ? 503U : 200U, "", body };
   }
 
-  /// Lets the last request be answered.
+  /// Lets the latest request get its response.
   void Release()
   {
-    held = false;
+    holdRequests = false;
     current->WakeTimer().cancel();
   }
 
@@ -78,32 +78,32 @@
 
   void CountClosedConnection(std::string_view aReason) override
   {
-    ++ends[std::string(aReason)];
+    ++closes[std::string(aReason)];
   }
 
   CallerLimits limits{ 4096, 4096, seconds{ 9 } };
   std::string body = "done";
-  bool held = false;
-  bool fails = false;
-  bool unsound = false;
+  bool holdRequests = false;
+  bool throwInHandle = false;
+  bool throwInLimits = false;
   size_t handled = 0;
   std::shared_ptr<RequestContext> current;
-  std::map<std::string, size_t> ends;
+  std::map<std::string, size_t> closes;
 };
 
-class CallerFrontTest : public ::testing::Test
+class CallerServerTest : public ::testing::Test
 {
 protected:
-  CallerFrontTest()
+  CallerServerTest()
   {
     log::Options options;
     options.stream = lines;
     log::Configure(options);
-    const auto open = front.Start({ "127.0.0.1", 0 }, nullptr);
+    const auto open = server.Start({ "127.0.0.1", 0 }, nullptr);
     address = { asio::ip::address_v4::loopback(), open->port };
   }
 
-  ~CallerFrontTest() override { log::Configure({}); }
+  ~CallerServerTest() override { log::Configure({}); }
 
   tcp::socket Connect()
   {
@@ -117,8 +117,8 @@
     asio::write(aCaller, asio::buffer(aText));
   }
 
-  /// Lets the host run until something is so.
-  /// @return whether it came to be so; false only if the test is to fail.
+  /// Runs the server until a condition holds.
+  /// @return false after a time limit, so that the test fails.
   template<typename Condition>
   bool RunUntil(Condition aCondition)
   {
@@ -130,24 +130,26 @@
     return aCondition();
   }
 
-  /// Lets the host run until the caller sees its connection end.
-  /// @return all that the caller got, with the error that ended it.
+  /// Runs the server until the caller's connection ends.
+  /// @return all that the caller received, followed by "!" and the error if the
+  /// connection ended with another error than eof.
   std::string ReadToEnd(tcp::socket& aCaller)
   {
-    std::string got;
+    std::string received;
     ErrorCode error;
     aCaller.non_blocking(true);
     RunUntil([&] {
       std::array<char, 65536> bytes;
       const size_t read = aCaller.read_some(asio::buffer(bytes), error);
-      got.append(bytes.data(), read);
+      received.append(bytes.data(), read);
       return error && error != asio::error::would_block;
     });
-    return got + (error == asio::error::eof ? "" : "!" + error.message());
+    return received + (error == asio::error::eof ? "" : "!" + error.message());
   }
 
-  /// @return the host's end of a caller's connection, -1 if there is none.
-  static int HandleOf(const tcp::socket& aCaller)
+  /// @return the descriptor of the server's end of a caller's connection, -1 if
+  /// there is none.
+  static int ServerDescriptorOf(const tcp::socket& aCaller)
   {
     constexpr int kMostHandles = 1024;
     const tcp::endpoint wanted = aCaller.local_endpoint();
@@ -179,14 +181,14 @@
     std::make_shared<std::ostringstream>();
   testing::SteppedClock clock;
   asio::io_context context;
-  FakeService service;
-  CallerServer front{ context.get_executor(), service, clock };
+  FakeRequestHandler handler;
+  CallerServer server{ context.get_executor(), handler, clock };
   tcp::endpoint address;
 };
 
-/// For which the connections of this service are kept: its idle limit of 9 s
-/// and the time for which a link may be held up.
-constexpr seconds kKept{ 11 };
+/// Time for which connections are kept open: the idle timeout of 9 s and the
+/// grace period for a delayed link.
+constexpr seconds kKeptOpen{ 11 };
 
 const std::string kRequest = "GET /x HTTP/1.1\r\nHost: h\r\nId: r-1\r\n\r\n";
 const std::string kLastRequest =
@@ -203,242 +205,240 @@
   return count;
 }
 
-TEST_F(CallerFrontTest, AnswersRequestAfterRequest)
+TEST_F(CallerServerTest, ServesRequestsInSequence)
 {
   tcp::socket caller = Connect();
   Send(caller, kRequest + kLastRequest);
-  const std::string got = ReadToEnd(caller);
-  EXPECT_EQ(Count(got, "HTTP/1.1 200 OK"), 2U) << got;
-  EXPECT_EQ(Count(got, "Connection: close"), 1U) << got;
-  EXPECT_EQ(service.ends["answered"], 1U);
+  const std::string received = ReadToEnd(caller);
+  EXPECT_EQ(Count(received, "HTTP/1.1 200 OK"), 2U) << received;
+  EXPECT_EQ(Count(received, "Connection: close"), 1U) << received;
+  EXPECT_EQ(handler.closes["answered"], 1U);
 }
 
-// A caller closes its connection under its request. Whether it did, or the
-// connection was lost in another way, is told by one line and counted.
-TEST_F(CallerFrontTest, EndUnderARequestIsTold)
+// A caller that disconnects during its request must be counted and logged with
+// the reason, so that operators can tell it from other lost connections.
+TEST_F(CallerServerTest, DisconnectDuringRequestIsLoggedAndCounted)
 {
-  service.held = true;
+  handler.holdRequests = true;
   tcp::socket caller = Connect();
   Send(caller, kRequest);
-  ASSERT_TRUE(RunUntil([&] { return service.handled == 1; }));
+  ASSERT_TRUE(RunUntil([&] { return handler.handled == 1; }));
   clock.Step(milliseconds{ 12 });
   caller.close();
-  EXPECT_TRUE(RunUntil([&] { return service.ends["caller_left"] == 1; }));
-  const std::string told = Lines();
-  EXPECT_NE(told.find("connection ended under a request reason=caller_left "
-                      "after_ms=12 socket=End of file"),
+  EXPECT_TRUE(RunUntil([&] { return handler.closes["caller_left"] == 1; }));
+  const std::string logged = Lines();
+  EXPECT_NE(logged.find("connection ended under a request reason=caller_left "
+                        "after_ms=12 socket=End of file"),
             std::string::npos)
-    << told;
-  EXPECT_NE(told.find("r-1"), std::string::npos) << told;
+    << logged;
+  EXPECT_NE(logged.find("r-1"), std::string::npos) << logged;
 }
 
-// Callers leave by the hundred when a service is slow. Their lines would fill
-// the log and hide the others.
-TEST_F(CallerFrontTest, LinesOfEndedConnectionsAreBounded)
+// Guards against a flooded log: when a service is slow, hundreds of callers
+// disconnect.
+TEST_F(CallerServerTest, LogLinesOfClosedConnectionsAreLimited)
 {
   constexpr size_t kCallers = 50;
   constexpr size_t kMostLines = 20;
-  service.held = true;
+  handler.holdRequests = true;
   std::vector<tcp::socket> callers;
   for (size_t i = 0; i < kCallers; ++i) {
     callers.push_back(Connect());
     Send(callers.back(), kRequest);
   }
-  ASSERT_TRUE(RunUntil([&] { return service.handled == kCallers; }));
+  ASSERT_TRUE(RunUntil([&] { return handler.handled == kCallers; }));
   callers.clear();
   EXPECT_TRUE(
-    RunUntil([&] { return service.ends["caller_left"] == kCallers; }));
+    RunUntil([&] { return handler.closes["caller_left"] == kCallers; }));
   EXPECT_EQ(Count(Lines(), "ended under a request"), kMostLines);
 }
 
-TEST_F(CallerFrontTest, OrdinaryEndsAreCountedAndNotTold)
+TEST_F(CallerServerTest, NormalClosesAreCountedAndNotLogged)
 {
   tcp::socket idle = Connect();
   tcp::socket closing = Connect();
   ASSERT_TRUE(RunUntil([&] { return context.poll() == 0; }));
   closing.close();
-  EXPECT_TRUE(RunUntil([&] { return service.ends["caller_closed"] == 1; }));
-  clock.Step(kKept);
-  front.Sweep(clock.Now());
-  EXPECT_TRUE(RunUntil([&] { return service.ends["idle"] == 1; }));
+  EXPECT_TRUE(RunUntil([&] { return handler.closes["caller_closed"] == 1; }));
+  clock.Step(kKeptOpen);
+  server.Sweep(clock.Now());
+  EXPECT_TRUE(RunUntil([&] { return handler.closes["idle"] == 1; }));
   EXPECT_EQ(Count(Lines(), "ended under a request"), 0U);
 }
 
-// A caller uses a connection for as long as it was told, and then the link is
-// held up. Its request reaches the host two seconds after the idle limit, in
-// the moment in which the host would end the connection at the limit itself:
-// the caller would see a close and no answer.
-TEST_F(CallerFrontTest, RequestThatIsHeldUpBeyondTheIdleLimitIsAnswered)
+// Guards against the loss of a request on a delayed link: a caller uses a
+// connection within the advertised timeout, and its request reaches the host
+// almost two seconds after the idle timeout.
+TEST_F(CallerServerTest, RequestDelayedBeyondIdleTimeoutIsServed)
 {
   tcp::socket caller = Connect();
   Send(caller, kRequest);
-  ASSERT_TRUE(RunUntil([&] { return service.handled == 1; }));
-  clock.Step(kKept - milliseconds{ 1 });
-  front.Sweep(clock.Now());
+  ASSERT_TRUE(RunUntil([&] { return handler.handled == 1; }));
+  clock.Step(kKeptOpen - milliseconds{ 1 });
+  server.Sweep(clock.Now());
   context.restart();
   context.poll();
   Send(caller, kLastRequest);
-  const std::string got = ReadToEnd(caller);
-  EXPECT_EQ(Count(got, "HTTP/1.1 200 OK"), 2U) << got;
-  EXPECT_EQ(Count(got, "Keep-Alive: timeout=7\r\n"), 1U) << got;
-  EXPECT_EQ(service.ends["idle"], 0U);
+  const std::string received = ReadToEnd(caller);
+  EXPECT_EQ(Count(received, "HTTP/1.1 200 OK"), 2U) << received;
+  EXPECT_EQ(Count(received, "Keep-Alive: timeout=7\r\n"), 1U) << received;
+  EXPECT_EQ(handler.closes["idle"], 0U);
 }
 
-// A limit of less than two seconds can't be told in whole seconds; "0" would
-// have callers connect anew for each request.
-TEST_F(CallerFrontTest, ShortIdleLimitIsNotTold)
+// A timeout of less than two seconds can't be advertised in whole seconds; with
+// "timeout=0" callers would open a new connection for each request.
+TEST_F(CallerServerTest, ShortIdleTimeoutIsNotAdvertised)
 {
-  service.limits.idleTimeout = milliseconds{ 1200 };
+  handler.limits.idleTimeout = milliseconds{ 1200 };
   tcp::socket caller = Connect();
   Send(caller, kRequest + kLastRequest);
   EXPECT_EQ(Count(ReadToEnd(caller), "Keep-Alive"), 0U);
 }
 
-// A caller closes its sending side after its request, which HTTP allows. It
-// can't be told from one that has left, so its request is given up; but it gets
-// the answer that says so, and does not have to guess what became of it.
-TEST_F(CallerFrontTest, CallerThatHalfClosesGetsAnAnswer)
+// A caller shuts down its sending side after its request, which HTTP allows. It
+// can't be told from one that has disconnected, so its request is cancelled;
+// but it must get the response that says so.
+TEST_F(CallerServerTest, HalfClosedConnectionGetsResponse)
 {
-  service.held = true;
+  handler.holdRequests = true;
   tcp::socket caller = Connect();
   Send(caller, kRequest);
   caller.shutdown(tcp::socket::shutdown_send);
-  const std::string got = ReadToEnd(caller);
-  EXPECT_EQ(Count(got, "HTTP/1.1 503"), 1U) << got;
-  EXPECT_EQ(Count(got, "Connection: close"), 1U) << got;
-  EXPECT_EQ(service.ends["caller_left"], 1U);
+  const std::string received = ReadToEnd(caller);
+  EXPECT_EQ(Count(received, "HTTP/1.1 503"), 1U) << received;
+  EXPECT_EQ(Count(received, "Connection: close"), 1U) << received;
+  EXPECT_EQ(handler.closes["caller_left"], 1U);
 }
 
-// A caller sends part of a request and then nothing. Its request has not run,
-// and the refusal says so.
-TEST_F(CallerFrontTest, HalfRequestThatTakesTooLongIsRefused)
+// A caller sends part of a request and then nothing. The request has not run,
+// and the error response must say so.
+TEST_F(CallerServerTest, IncompleteRequestTimesOutWith408)
 {
   tcp::socket caller = Connect();
   Send(caller, "POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\n1234");
   for (int sweep = 0; sweep < 2; ++sweep) {
     context.restart();
     context.poll();
-    clock.Step(kKept);
-    front.Sweep(clock.Now());
+    clock.Step(kKeptOpen);
+    server.Sweep(clock.Now());
   }
-  const std::string got = ReadToEnd(caller);
-  EXPECT_EQ(Count(got, "HTTP/1.1 408"), 1U) << got;
-  EXPECT_EQ(service.ends["half_request"], 1U);
+  const std::string received = ReadToEnd(caller);
+  EXPECT_EQ(Count(received, "HTTP/1.1 408"), 1U) << received;
+  EXPECT_EQ(handler.closes["half_request"], 1U);
 }
 
-// A caller sends its next request before it has read the answer that ends the
-// connection. A socket that is closed with bytes to read is reset by the
-// kernel, which drops what it had still to send: the caller gets part of an
-// answer and a reset.
-TEST_F(CallerFrontTest, AnswerIsWholeAlthoughMoreWasSent)
+// Guards against a truncated response: a caller sends its next request before
+// it has read the last response of the connection. The kernel resets a socket
+// that is closed with unread input, and drops its unsent output.
+TEST_F(CallerServerTest, ResponseIsCompleteDespiteUnreadInput)
 {
-  service.body = std::string(200000, 'x');
+  handler.body = std::string(200000, 'x');
   tcp::socket caller(context, tcp::v4());
   caller.set_option(asio::socket_base::receive_buffer_size(4096));
   caller.connect(address);
-  service.held = true;
+  handler.holdRequests = true;
   Send(caller, kLastRequest);
-  ASSERT_TRUE(RunUntil([&] { return service.handled == 1; }));
+  ASSERT_TRUE(RunUntil([&] { return handler.handled == 1; }));
   Send(caller, kRequest);
-  service.Release();
-  ASSERT_TRUE(RunUntil([&] { return service.ends["answered"] == 1; }));
-  const std::string got = ReadToEnd(caller);
-  EXPECT_EQ(Count(got, "x"), service.body.size()) << got.substr(0, 200);
-  EXPECT_EQ(Count(got, "!"), 0U) << got.substr(got.size() - 40);
+  handler.Release();
+  ASSERT_TRUE(RunUntil([&] { return handler.closes["answered"] == 1; }));
+  const std::string received = ReadToEnd(caller);
+  EXPECT_EQ(Count(received, "x"), handler.body.size())
+    << received.substr(0, 200);
+  EXPECT_EQ(Count(received, "!"), 0U) << received.substr(received.size() - 40);
 }
 
-// The same with the rest of a body that is too long.
-TEST_F(CallerFrontTest, RefusalReachesACallerThatStillSends)
+// The same when the unread input is the rest of a body that is too large.
+TEST_F(CallerServerTest, ErrorResponseReachesSendingCaller)
 {
   tcp::socket caller = Connect();
   Send(caller,
        "POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 100000\r\n\r\n" +
          std::string(50000, '.'));
-  ASSERT_TRUE(RunUntil([&] { return service.ends["refused"] == 1; }));
+  ASSERT_TRUE(RunUntil([&] { return handler.closes["refused"] == 1; }));
   ErrorCode error;
   asio::write(caller, asio::buffer(std::string(50000, '.')), error);
   EXPECT_FALSE(error) << error.message();
-  ErrorCode ignored; // The caller may be reset by now.
+  ErrorCode ignored; // The connection may have been reset.
   caller.shutdown(tcp::socket::shutdown_send, ignored);
-  const std::string got = ReadToEnd(caller);
-  EXPECT_EQ(Count(got, "HTTP/1.1 413"), 1U) << got;
-  EXPECT_EQ(Count(got, "!"), 0U) << got;
+  const std::string received = ReadToEnd(caller);
+  EXPECT_EQ(Count(received, "HTTP/1.1 413"), 1U) << received;
+  EXPECT_EQ(Count(received, "!"), 0U) << received;
 }
 
-// A caller reads its last answer and keeps its side open. The host does not
-// keep the connection for it.
-TEST_F(CallerFrontTest, CallerThatStaysDoesNotHoldUpTheEnd)
+// Guards against a shutdown that waits for a caller that has its last response
+// and does not close its side of the connection.
+TEST_F(CallerServerTest, OpenCallerDoesNotDelayShutdown)
 {
   tcp::socket caller = Connect();
   Send(caller, kLastRequest);
-  ASSERT_TRUE(RunUntil([&] { return service.ends["answered"] == 1; }));
-  front.Stop();
-  front.Close();
+  ASSERT_TRUE(RunUntil([&] { return handler.closes["answered"] == 1; }));
+  server.Stop();
+  server.Close();
   clock.Step(seconds{ 2 });
-  front.Sweep(clock.Now());
-  EXPECT_TRUE(RunUntil([&] { return front.IsClosed(); }));
+  server.Sweep(clock.Now());
+  EXPECT_TRUE(RunUntil([&] { return server.IsClosed(); }));
 }
 
-// The work on a request fails with a fault of ours. The caller is told that
-// nobody knows what became of it, at once, and the connection does not stay
-// open for ever.
-TEST_F(CallerFrontTest, FaultUnderARequestIsAnAnswer)
+// Guards against a caller that waits forever because handling its request threw
+// an exception. It must get a 502 at once, and the connection must close.
+TEST_F(CallerServerTest, ExceptionInHandlerReturns502)
 {
-  service.fails = true;
+  handler.throwInHandle = true;
   tcp::socket caller = Connect();
   Send(caller, kRequest);
-  const std::string got = ReadToEnd(caller);
-  EXPECT_EQ(Count(got, "HTTP/1.1 502"), 1U) << got;
-  EXPECT_EQ(service.ends["failed"], 1U);
+  const std::string received = ReadToEnd(caller);
+  EXPECT_EQ(Count(received, "HTTP/1.1 502"), 1U) << received;
+  EXPECT_EQ(handler.closes["failed"], 1U);
 }
 
-// The same between two requests: the caller sees its connection end and does
-// not wait, and the host does not keep the connection until its own end.
-TEST_F(CallerFrontTest, FaultBetweenRequestsEndsTheConnection)
+// The same for an exception between two requests: the connection must close.
+TEST_F(CallerServerTest, ExceptionBetweenRequestsClosesConnection)
 {
-  service.unsound = true;
+  handler.throwInLimits = true;
   tcp::socket caller = Connect();
   EXPECT_EQ(ReadToEnd(caller), "");
-  EXPECT_EQ(service.ends["failed"], 1U);
+  EXPECT_EQ(handler.closes["failed"], 1U);
 }
 
-// A caller's connection is reset as it is sent its answer.
-TEST_F(CallerFrontTest, AnswerThatIsNotTakenIsTold)
+// A caller resets its connection while its response is written.
+TEST_F(CallerServerTest, FailedWriteIsLoggedAndCounted)
 {
   constexpr size_t kMoreThanBuffers = size_t{ 32 } * 1024 * 1024;
-  service.body = std::string(kMoreThanBuffers, 'x');
+  handler.body = std::string(kMoreThanBuffers, 'x');
   tcp::socket caller = Connect();
   Send(caller, kRequest);
-  ASSERT_TRUE(RunUntil([&] { return service.handled == 1; }));
+  ASSERT_TRUE(RunUntil([&] { return handler.handled == 1; }));
   context.restart();
   context.poll();
   caller.set_option(asio::socket_base::linger(true, 0));
   caller.close();
-  EXPECT_TRUE(RunUntil([&] { return service.ends["write_failed"] == 1; }));
+  EXPECT_TRUE(RunUntil([&] { return handler.closes["write_failed"] == 1; }));
   EXPECT_EQ(Count(Lines(), "under a request reason=write_failed"), 1U);
 }
 
-// The host leaves. A caller's connection stands and its request is sent, but
-// the host has not accepted it: the kernel resets what is left in the queue of
-// a listener that closes.
-TEST_F(CallerFrontTest, CallersInTheQueueAreServedAsTheListenerCloses)
+// Guards against lost requests at shutdown: a caller has connected and sent its
+// request, but the host has not accepted the connection yet. The kernel resets
+// the connections that are queued when a listener closes.
+TEST_F(CallerServerTest, QueuedConnectionsAreServedWhenListenerCloses)
 {
   tcp::socket caller = Connect();
   Send(caller, kRequest);
-  front.Stop();
-  front.Close();
-  const std::string got = ReadToEnd(caller);
-  EXPECT_EQ(Count(got, "HTTP/1.1 200 OK"), 1U) << got;
+  server.Stop();
+  server.Close();
+  const std::string received = ReadToEnd(caller);
+  EXPECT_EQ(Count(received, "HTTP/1.1 200 OK"), 1U) << received;
 }
 
 // The same with the listener closed after each number of the host's first
-// steps: at some of them a caller has been accepted and nobody has it yet.
-TEST_F(CallerFrontTest, CallersAreServedWhereverTheListenerCloses)
+// handlers; after some of them a connection has been accepted but its handler
+// has not run.
+TEST_F(CallerServerTest, ConnectionsAreServedWheneverListenerCloses)
 {
   constexpr size_t kMostSteps = 9;
   constexpr size_t kCallers = 3;
   for (size_t steps = 0; steps < kMostSteps; ++steps) {
-    CallerServer other(context.get_executor(), service, clock);
+    CallerServer other(context.get_executor(), handler, clock);
     address.port(other.Start({ "127.0.0.1", 0 }, nullptr)->port);
     std::vector<tcp::socket> callers;
     for (size_t i = 0; i < kCallers; ++i) {
@@ -451,73 +451,74 @@
     }
     other.Stop();
     other.Close();
-    RunUntil([&] { return service.handled == kCallers * (steps + 1); });
+    RunUntil([&] { return handler.handled == kCallers * (steps + 1); });
     context.poll();
-    other.Close(); // As each sweep does.
+    other.Close(); // The host calls it repeatedly.
     for (tcp::socket& caller : callers) {
-      const std::string got = ReadToEnd(caller);
-      EXPECT_EQ(Count(got, "HTTP/1.1 200 OK"), 1U) << steps << " " << got;
+      const std::string received = ReadToEnd(caller);
+      EXPECT_EQ(Count(received, "HTTP/1.1 200 OK"), 1U)
+        << steps << " " << received;
     }
     callers.clear();
     EXPECT_TRUE(RunUntil([&] { return other.IsClosed(); }));
   }
 }
 
-// The host leaves. A caller has just connected, and its first request is on its
-// way over a slow link.
-TEST_F(CallerFrontTest, NewConnectionMayBringItsFirstRequest)
+// Guards against a lost request at shutdown: a caller has just connected, and
+// its first request is in transit over a slow link.
+TEST_F(CallerServerTest, FirstRequestOfNewConnectionIsServedAtShutdown)
 {
   tcp::socket caller = Connect();
   ASSERT_TRUE(RunUntil([&] { return context.poll() == 0; }));
-  front.Stop();
-  front.Close();
+  server.Stop();
+  server.Close();
   context.restart();
   context.poll();
   Send(caller, kRequest);
-  const std::string got = ReadToEnd(caller);
-  EXPECT_EQ(Count(got, "HTTP/1.1 200 OK"), 1U) << got;
+  const std::string received = ReadToEnd(caller);
+  EXPECT_EQ(Count(received, "HTTP/1.1 200 OK"), 1U) << received;
 }
 
-TEST_F(CallerFrontTest, NewConnectionThatBringsNothingEnds)
+TEST_F(CallerServerTest, NewConnectionWithoutRequestClosesAtShutdown)
 {
   tcp::socket caller = Connect();
   ASSERT_TRUE(RunUntil([&] { return context.poll() == 0; }));
-  front.Stop();
-  front.Close();
+  server.Stop();
+  server.Close();
   clock.Step(seconds{ 1 });
-  front.Close();
-  EXPECT_TRUE(RunUntil([&] { return front.IsClosed(); }));
-  EXPECT_EQ(service.ends["leaving"], 1U);
+  server.Close();
+  EXPECT_TRUE(RunUntil([&] { return server.IsClosed(); }));
+  EXPECT_EQ(handler.closes["leaving"], 1U);
 }
 
-// The host has no descriptor left for one more connection. It must not spend
-// its share of the core on trying again at once: those it has would get late
-// answers. The caller that waits is accepted once there is room.
-TEST_F(CallerFrontTest, WithoutDescriptorsItWaits)
+// Guards against a busy loop when the host has no free file descriptor for a
+// new connection; open connections would get late responses. The waiting caller
+// must be accepted by the next Sweep() with a free descriptor.
+TEST_F(CallerServerTest, AcceptPausesWithoutDescriptors)
 {
   tcp::socket caller = Connect();
   Send(caller, kRequest);
   constexpr size_t kMostHandlers = 100;
   EXPECT_LT(testing::HandlersWithoutDescriptors(context, kMostHandlers),
             kMostHandlers);
-  front.Sweep(clock.Now());
-  ASSERT_TRUE(RunUntil([&] { return service.handled == 1; }));
+  server.Sweep(clock.Now());
+  ASSERT_TRUE(RunUntil([&] { return handler.handled == 1; }));
 }
 
-// A link is held up for a second while a request crosses it on an idle
-// connection. With an end to unacknowledged bytes set, the kernel resets a
-// connection after one probe that is not answered within the probes' interval,
-// and the request with it. A caller that is gone is found without probes: by
-// the idle time, by the request's own time, or by its answer.
-TEST_F(CallerFrontTest, CallersAreNotProbed)
+// Guards against the loss of a request on an idle connection whose link is
+// delayed for a second. With TCP_USER_TIMEOUT set, the kernel resets a
+// connection after one keep-alive probe that is not answered within the probe
+// interval. Callers that are gone are detected without probes: by the idle
+// timeout, by the request's deadline, or when the response is written.
+TEST_F(CallerServerTest, KeepAliveProbesAreDisabled)
 {
   tcp::socket caller = Connect();
   ASSERT_TRUE(RunUntil([&] { return context.poll() == 0; }));
-  const int handle = HandleOf(caller);
-  ASSERT_GE(handle, 0);
-  EXPECT_EQ(Option(handle, SOL_SOCKET, SO_KEEPALIVE), 0);
-  EXPECT_EQ(Option(handle, IPPROTO_TCP, TCP_USER_TIMEOUT), 3000);
-  EXPECT_NE(Option(handle, IPPROTO_TCP, TCP_NODELAY), 0);
+  const int descriptor = ServerDescriptorOf(caller);
+  ASSERT_GE(descriptor, 0);
+  EXPECT_EQ(Option(descriptor, SOL_SOCKET, SO_KEEPALIVE), 0);
+  EXPECT_EQ(Option(descriptor, IPPROTO_TCP, TCP_USER_TIMEOUT), 3000);
+  EXPECT_NE(Option(descriptor, IPPROTO_TCP, TCP_NODELAY), 0);
 }
 
 } // namespace
--- a/src/librattandyke/gateway/egress_queue_test.cpp
+++ b/src/librattandyke/gateway/egress_queue_test.cpp
@@ -9,20 +9,20 @@
 using std::chrono::milliseconds;
 using Tickets = std::vector<EgressQueue::Ticket>;
 
-/// 100 KB a second, so that 10,000 bytes take 100 ms.
+/// 100 KB/s: kLong bytes take 100 ms.
 constexpr double kRate = 100'000;
 constexpr size_t kLong = 10'000;
 
 class EgressQueueTest : public ::testing::Test
 {
 protected:
-  bool Enqueue(uint64_t aTicket, milliseconds aDueIn, size_t aBytes = kLong)
+  bool Enqueue(uint64_t aTicket, milliseconds aSendIn, size_t aBytes = kLong)
   {
-    return queue.Enqueue(aTicket, aBytes, now + aDueIn, now);
+    return queue.Enqueue(aTicket, aBytes, now + aSendIn, now);
   }
 
-  /// @return what becomes ready until the queue is empty, in order.
-  Tickets Drain()
+  /// @return the tickets in the order in which they become ready.
+  Tickets PopAll()
   {
     Tickets order;
     while (!queue.IsEmpty()) {
@@ -37,7 +37,7 @@
   EgressQueue queue{ kRate };
 };
 
-TEST_F(EgressQueueTest, FreeLinkTakesAnAnswerAtOnce)
+TEST_F(EgressQueueTest, IdleLinkSendsAtOnce)
 {
   EXPECT_TRUE(Enqueue(1, milliseconds{ 500 }));
   EXPECT_FALSE(Enqueue(2, milliseconds{ 500 }));
@@ -45,30 +45,28 @@
   EXPECT_EQ(queue.PopReady(now), Tickets{ 2 });
 }
 
-TEST_F(EgressQueueTest, LinkWithoutABoundKeepsNothing)
+TEST_F(EgressQueueTest, UnlimitedLinkQueuesNothing)
 {
-  EgressQueue unbounded(0);
+  EgressQueue unlimited(0);
   for (uint64_t ticket = 0; ticket < 1000; ++ticket) {
-    EXPECT_TRUE(unbounded.Enqueue(ticket, kLong, now, now));
+    EXPECT_TRUE(unlimited.Enqueue(ticket, kLong, now, now));
   }
 }
 
-// The link is busy. Three callers' answers become ready: the first has time to
-// spare, the last would be late in the order of arrival. All three are in time
-// if the one due first goes first.
-TEST_F(EgressQueueTest, WhatIsDueFirstGoesFirst)
+// Three responses wait for a busy link. The last would be late in the order of
+// arrival; all three are in time if the earliest deadline goes first.
+TEST_F(EgressQueueTest, EarliestDeadlineGoesFirst)
 {
   Enqueue(1, milliseconds{ 900 });
   Enqueue(2, milliseconds{ 900 });
   Enqueue(3, milliseconds{ 600 });
   Enqueue(4, milliseconds{ 250 });
-  EXPECT_EQ(Drain(), (Tickets{ 4, 3, 2 }));
+  EXPECT_EQ(PopAll(), (Tickets{ 4, 3, 2 }));
 }
 
-// Answers come faster than the link takes them. One that is late already would
-// make another one late if it went first; it goes once nobody is in time any
-// more, or has waited long enough.
-TEST_F(EgressQueueTest, LateAnswersWaitForThoseInTimeButNotForever)
+// Responses arrive faster than the link sends them. A late response must not
+// delay those that are in time, but must not starve either.
+TEST_F(EgressQueueTest, LateResponsesYieldForLimitedTime)
 {
   Enqueue(1, milliseconds{ 900 });
   Enqueue(2, milliseconds{ 0 });
@@ -86,9 +84,9 @@
   EXPECT_LE(late - order.begin(), 3);
 }
 
-// A request to an upstream is written while answers wait. It does not wait, and
-// the answers start later by as much as it takes.
-TEST_F(EgressQueueTest, WhatDoesNotWaitTakesItsTimeOfTheLink)
+// A request to an upstream bypasses the queue. The queued responses must start
+// later by its sending time.
+TEST_F(EgressQueueTest, BypassingBytesDelayQueue)
 {
   Enqueue(1, milliseconds{ 900 });
   Enqueue(2, milliseconds{ 900 });
@@ -97,7 +95,7 @@
   EXPECT_GE(queue.NextReadyTime() - before, milliseconds{ 100 });
 }
 
-TEST_F(EgressQueueTest, AnswerThatLeavesIsForgotten)
+TEST_F(EgressQueueTest, RemovedResponseIsNotQueued)
 {
   Enqueue(1, milliseconds{ 900 });
   Enqueue(2, milliseconds{ 900 });
@@ -105,9 +103,9 @@
   EXPECT_TRUE(queue.IsEmpty());
 }
 
-// Whatever comes in whatever order: each answer goes once, and the link is
-// never given more than it can take, but for what is handed over ahead.
-RC_GTEST_PROP(EgressQueue, EachAnswerGoesOnceAndNoSoonerThanTheLinkTakes, ())
+// For any sequence of responses: each is sent exactly once, and no faster than
+// the link's rate, except for the bytes that are written ahead.
+RC_GTEST_PROP(EgressQueue, EachResponseIsSentOnceAtLinkRate, ())
 {
   EgressQueue queue(kRate);
   const Instant start{ std::chrono::hours{ 1 } };
@@ -115,23 +113,24 @@
   const auto sizes =
     *rc::gen::container<std::vector<size_t>>(rc::gen::inRange(1, 20'000));
   size_t bytes = 0;
-  size_t gone = 0;
-  for (size_t at = 0; at < sizes.size(); ++at) {
-    const milliseconds due{ *rc::gen::inRange(-200, 900) };
-    gone += queue.Enqueue(at, sizes[at], now + due, now) ? 1 : 0;
-    bytes += sizes[at];
+  size_t sentCount = 0;
+  for (size_t ticket = 0; ticket < sizes.size(); ++ticket) {
+    const milliseconds sendBy{ *rc::gen::inRange(-200, 900) };
+    sentCount +=
+      queue.Enqueue(ticket, sizes[ticket], now + sendBy, now) ? 1 : 0;
+    bytes += sizes[ticket];
     now += milliseconds{ *rc::gen::inRange(0, 60) };
-    gone += queue.PopReady(now).size();
+    sentCount += queue.PopReady(now).size();
   }
   while (!queue.IsEmpty()) {
     now = std::max(now, queue.NextReadyTime());
-    gone += queue.PopReady(now).size();
+    sentCount += queue.PopReady(now).size();
   }
-  RC_ASSERT(gone == sizes.size());
+  RC_ASSERT(sentCount == sizes.size());
   if (!sizes.empty()) {
-    const std::chrono::duration<double> took = now - start;
+    const std::chrono::duration<double> elapsed = now - start;
     const double sent = static_cast<double>(bytes - sizes.back());
-    RC_ASSERT(took.count() + 0.3 >= (sent - 20'000) / kRate);
+    RC_ASSERT(elapsed.count() + 0.3 >= (sent - 20'000) / kRate);
   }
 }
 
--- a/src/librattandyke/gateway/link_budget_test.cpp
+++ b/src/librattandyke/gateway/link_budget_test.cpp
@@ -10,152 +10,158 @@
 
 using std::chrono::milliseconds;
 
-/// Of a small host's link.
+/// Bandwidth of a small host's link in bytes per second.
 constexpr double kRate = 287'500;
-constexpr milliseconds kInTime{ 600 };
+constexpr milliseconds kTimeout{ 600 };
 
-TEST(LinkBudget, LinkWithoutABoundTakesAll)
+TEST(LinkBudget, UnlimitedLinkAdmitsAll)
 {
   LinkBudget budget(0);
   const Instant now{ std::chrono::hours{ 1 } };
   for (int request = 0; request < 1000; ++request) {
-    EXPECT_FALSE(budget.Admit(9, 300, 1'000'000, kInTime, now));
+    EXPECT_FALSE(budget.Admit(9, 300, 1'000'000, kTimeout, now));
   }
 }
 
-TEST(LinkBudget, LessUrgentRequestsAreRefusedSooner)
+TEST(LinkBudget, LowerPrioritiesAreRejectedFirst)
 {
   LinkBudget budget(kRate);
   const Instant now{ std::chrono::hours{ 1 } };
-  while (!budget.Admit(2, 300, 5000, kInTime, now)) {
+  while (!budget.Admit(2, 300, 5000, kTimeout, now)) {
   }
-  EXPECT_TRUE(budget.Admit(3, 300, 5000, kInTime, now));
-  EXPECT_FALSE(budget.Admit(0, 300, 5000, kInTime, now));
+  EXPECT_TRUE(budget.Admit(3, 300, 5000, kTimeout, now));
+  EXPECT_FALSE(budget.Admit(0, 300, 5000, kTimeout, now));
 }
 
-// A refused caller that comes back after the time it was told finds room.
-TEST(LinkBudget, ToldTimeIsEnough)
+// A rejected caller that retries after the returned time must be admitted.
+TEST(LinkBudget, RetryAfterReturnedTimeIsAdmitted)
 {
   LinkBudget budget(kRate);
   Instant now{ std::chrono::hours{ 1 } };
   std::optional<Duration> wait;
-  while (!(wait = budget.Admit(1, 300, 5000, kInTime, now))) {
+  while (!(wait = budget.Admit(1, 300, 5000, kTimeout, now))) {
   }
-  EXPECT_FALSE(budget.Admit(1, 300, 5000, kInTime, now + *wait));
+  EXPECT_FALSE(budget.Admit(1, 300, 5000, kTimeout, now + *wait));
 }
 
-TEST(LinkBudget, RoomOfWhatDoesNotComeIsFreeAgain)
+TEST(LinkBudget, ReleasedBytesAreAvailableAgain)
 {
   LinkBudget budget(kRate);
   const Instant now{ std::chrono::hours{ 1 } };
-  while (!budget.Admit(1, 300, 5000, kInTime, now)) {
+  while (!budget.Admit(1, 300, 5000, kTimeout, now)) {
   }
   budget.Release(5000);
-  EXPECT_FALSE(budget.Admit(1, 300, 5000, kInTime, now));
+  EXPECT_FALSE(budget.Admit(1, 300, 5000, kTimeout, now));
 }
 
-// A caller that is refused sends its request again. Where that is as long as
-// the answer, the link is no emptier for it.
-TEST(LinkBudget, RequestsAsLongAsTheirAnswersAreTaken)
+// A rejected caller sends its request again. If the request is about as long as
+// its response, rejecting it saves no bandwidth.
+TEST(LinkBudget, RequestsAsLongAsTheirResponsesAreAdmitted)
 {
   LinkBudget budget(kRate);
   const Instant now{ std::chrono::hours{ 1 } };
-  while (!budget.Admit(1, 300, 5000, kInTime, now)) {
+  while (!budget.Admit(1, 300, 5000, kTimeout, now)) {
   }
-  EXPECT_FALSE(budget.Admit(1, 4000, 5000, kInTime, now));
+  EXPECT_FALSE(budget.Admit(1, 4000, 5000, kTimeout, now));
 }
 
-TEST(ResponseSizes, FollowsTheAnswersOfARoute)
+TEST(ResponseSizes, FollowsResponseSizesOfRoute)
 {
   ResponseSizes sizes;
   EXPECT_GT(sizes.Expected("r"), 0U);
   sizes.Record("r", 100);
   EXPECT_EQ(sizes.Expected("r"), 100U);
-  for (int answer = 0; answer < 200; ++answer) {
+  for (int response = 0; response < 200; ++response) {
     sizes.Record("r", 9000);
   }
   EXPECT_GT(sizes.Expected("r"), 8500U);
 }
 
-/// What becomes of callers' requests on a link, in simulated time. Answers come
-/// some time after their requests and queue in front of the link.
+/// Simulates callers' requests on a link. Responses arrive some time after
+/// their requests and queue in front of the link.
 struct Burst
 {
-  /// @param aOffered bytes of all answers that callers ask for, as a part of
-  /// what the link carries.
-  /// @return part of the requests that are answered within half a second.
-  static double InTime(double aOffered, bool aBounded)
+  /// @param aOffered bytes of all requested responses, relative to the
+  /// bandwidth of the link.
+  /// @param aLimited whether the LinkBudget limits the requests.
+  /// @return share of the requests whose response arrives within half a second.
+  static double InTimeShare(double aOffered, bool aLimited)
   {
-    constexpr double kAnswer = 5000;
-    constexpr std::chrono::seconds kLasts{ 20 };
+    constexpr double kResponseBytes = 5000;
+    constexpr std::chrono::seconds kLength{ 20 };
     std::mt19937_64 random(5);
-    std::exponential_distribution<double> gap(aOffered * kRate / kAnswer);
+    std::exponential_distribution<double> gap(aOffered * kRate /
+                                              kResponseBytes);
     std::lognormal_distribution<double> size(-0.18, 0.6);
-    LinkBudget budget(aBounded ? kRate : 0);
+    LinkBudget budget(aLimited ? kRate : 0);
     const Instant start{ std::chrono::hours{ 1 } };
     Instant linkFree = start;
-    double asked = 0;
+    double requests = 0;
     double inTime = 0;
-    for (Instant now = start; now < start + kLasts;) {
+    for (Instant now = start; now < start + kLength;) {
       now += std::chrono::duration_cast<Duration>(
         std::chrono::duration<double>(gap(random)));
-      asked += 1;
-      if (budget.Admit(2, 300, static_cast<size_t>(kAnswer), kInTime, now)) {
+      requests += 1;
+      if (budget.Admit(
+            2, 300, static_cast<size_t>(kResponseBytes), kTimeout, now)) {
         continue;
       }
       const Instant sent = now + milliseconds{ 120 };
       linkFree =
         std::max(linkFree, sent) +
         std::chrono::duration_cast<Duration>(
-          std::chrono::duration<double>(size(random) * kAnswer / kRate));
+          std::chrono::duration<double>(size(random) * kResponseBytes / kRate));
       inTime += linkFree - now <= milliseconds{ 500 } ? 1 : 0;
     }
-    return inTime / asked;
+    return inTime / requests;
   }
 };
 
-// Callers ask for half as much again as an entry's link carries, for many
-// seconds. Without a bound nearly all answers are late; with one, nearly as
-// many are in time as the link carries in time.
-TEST(LinkBudget, MostOfWhatTheLinkCarriesIsInTimeInABurst)
+// Callers request 1.5 times the bandwidth of an entry's link for many seconds.
+// Without a limit nearly all responses are late. With it, nearly as many are in
+// time as the link can carry.
+TEST(LinkBudget, ResponsesAreInTimeUnderOverload)
 {
-  EXPECT_LT(Burst::InTime(1.5, false), 0.1);
-  EXPECT_GT(Burst::InTime(1.5, true), 0.9 * LinkBudget::kUsableShare / 1.5);
+  EXPECT_LT(Burst::InTimeShare(1.5, false), 0.1);
+  EXPECT_GT(Burst::InTimeShare(1.5, true),
+            0.9 * LinkBudget::kUsableShare / 1.5);
 }
 
-// Guards against an entry that takes on all requests with long bodies, because
-// a refusal saves little, until their answers leave after their routes' time.
-TEST(LinkBudget, LongRequestsAreRefusedOnceTheirAnswersWouldBeLate)
+// Guards against an entry that admits all requests with long bodies, because
+// rejecting them saves little bandwidth, until their responses are later than
+// the timeouts of their routes.
+TEST(LinkBudget, LongRequestsAreRejectedIfResponsesWouldBeLate)
 {
-  constexpr size_t kRequest = 4000;
-  constexpr size_t kAnswer = 1500;
+  constexpr size_t kRequestBytes = 4000;
+  constexpr size_t kResponseBytes = 1500;
   constexpr double kOffered = 1.5;
   LinkBudget budget(kRate);
   Instant now{ std::chrono::hours{ 1 } };
   const Instant end = now + std::chrono::seconds{ 20 };
   Instant linkFree = now;
-  Duration longest{};
-  double taken = 0;
+  Duration maxLatency{};
+  double admitted = 0;
   while (now < end) {
-    now += std::chrono::duration_cast<Duration>(
-      std::chrono::duration<double>((kRequest + kAnswer) / (kOffered * kRate)));
-    const auto wait = budget.Admit(0, kRequest, kAnswer, kInTime, now);
-    budget.RecordReceived(kRequest, now);
+    now += std::chrono::duration_cast<Duration>(std::chrono::duration<double>(
+      (kRequestBytes + kResponseBytes) / (kOffered * kRate)));
+    const auto wait =
+      budget.Admit(0, kRequestBytes, kResponseBytes, kTimeout, now);
+    budget.RecordReceived(kRequestBytes, now);
     linkFree =
       std::max(linkFree, now) +
       std::chrono::duration_cast<Duration>(std::chrono::duration<double>(
-        (kRequest + (wait ? 0 : kAnswer)) / kRate));
-    taken += wait ? 0 : 1;
-    longest = std::max(longest, wait ? Duration{} : linkFree - now);
+        (kRequestBytes + (wait ? 0 : kResponseBytes)) / kRate));
+    admitted += wait ? 0 : 1;
+    maxLatency = std::max(maxLatency, wait ? Duration{} : linkFree - now);
   }
-  EXPECT_LE(longest, Duration(kInTime));
-  EXPECT_GT(taken, 0);
+  EXPECT_LE(maxLatency, Duration(kTimeout));
+  EXPECT_GT(admitted, 0);
 }
 
-// At four fifths of what requests may use hardly anything is refused.
-TEST(LinkBudget, UsualLoadIsTaken)
+// At 80% of the usable bandwidth almost nothing is rejected.
+TEST(LinkBudget, UsualLoadIsAdmitted)
 {
-  EXPECT_GT(Burst::InTime(0.8 * LinkBudget::kUsableShare, true), 0.95);
+  EXPECT_GT(Burst::InTimeShare(0.8 * LinkBudget::kUsableShare, true), 0.95);
 }
 
 } // namespace
--- a/src/librattandyke/gateway/request_context.h
+++ b/src/librattandyke/gateway/request_context.h
@@ -47,7 +47,7 @@
   void DetachAttempt() { mAttempt.reset(); }
 
   /// @return the timer that the request's coroutine waits on. It is cancelled
-  /// when the request is cancelled, and by whoever has a result for it.
+  /// when the request is cancelled or a result for it is available.
   boost::asio::steady_timer& WakeTimer() { return mWakeTimer; }
 
 private:
--- a/src/librattandyke/gateway/request_handler.cpp
+++ b/src/librattandyke/gateway/request_handler.cpp
@@ -24,28 +24,33 @@
 constexpr unsigned kUnavailable = 503;
 constexpr unsigned kGatewayTimeout = 504;
 
-/// Part of a request's objective for which it waits for an upstream that has
-/// room, or for its key's next owner. What waits longer seldom makes it in
-/// time; refused, its caller can use the time to come back.
+/// Share of a route's latency objective for which a request waits for a slot or
+/// for an owner of its key. A request that waits longer is seldom in time; if
+/// it is rejected, its caller can use the remaining time for a retry.
 constexpr double kMaxWaitShare = 0.6;
-/// Part of its time for which a request waits for the first state. With the
-/// caller's own pause of a third of the rest, and a second wait, a state that
-/// comes within two thirds of its time is not too late.
+/// Share of its timeout for which a request waits for the first state. A
+/// rejected caller pauses for a third of the remaining time, and its second
+/// request waits again: a state that arrives within two thirds of the timeout
+/// is early enough.
 constexpr double kMaxStateWaitShare = 0.3;
+/// Retry-After values, by the reason for which a request has not run.
 constexpr milliseconds kRetryAfterFull{ 150 };
 constexpr milliseconds kRetryAfterNoOwner{ 400 };
 constexpr milliseconds kRetryAfterNoState{ 300 };
-/// A try with less time than this is not begun.
+/// Remaining time below which a request is not retried and waits for no slot.
 constexpr milliseconds kMinAttemptTime{ 15 };
-/// Time kept for the way back to the caller.
+/// Time reserved for the response on its way to the caller, not available to
+/// the upstream.
 constexpr milliseconds kReturnMargin{ 4 };
-/// Of an answer from this host to its caller.
+/// Transfer time of a response from this host to its caller, subtracted from
+/// the deadline for writing it.
 constexpr milliseconds kCallerDeliveryTime{ 15 };
-/// Without a deadline of the caller's.
+/// Timeout of a request without a deadline header.
 constexpr milliseconds kDefaultDeadline{ 10000 };
-/// Tries of which nothing was sent.
+/// Maximum number of attempts of a request in which nothing was sent, including
+/// changes of its key's owner while it waited for a slot.
 constexpr int kMaxUnsentAttempts = 6;
-/// Before the first configuration tells.
+/// Limits for callers where the configuration sets none.
 constexpr milliseconds kDefaultIdleTimeout{ 15000 };
 constexpr uint32_t kDefaultHeaderBytes = 16384;
 constexpr uint64_t kDefaultBodyBytes = uint64_t{ 64 } * 1024 * 1024;
@@ -56,6 +61,7 @@
   return { log::Part::Entry, log::Severity::Info, aId };
 }
 
+/// @return the number, nullopt if the text is not a decimal number.
 std::optional<uint64_t>
 ParseNumber(std::string_view aText)
 {
@@ -77,8 +83,9 @@
                                                       : aHost.substr(0, colon);
 }
 
+/// @return seconds with three decimals.
 std::string
-Seconds(Duration aTime)
+FormatSeconds(Duration aTime)
 {
   char text[32];
   const double seconds = std::chrono::duration<double>(aTime).count();
@@ -87,7 +94,7 @@
 }
 
 int64_t
-Ms(Duration aTime)
+Milliseconds(Duration aTime)
 {
   return std::chrono::duration_cast<milliseconds>(aTime).count();
 }
@@ -109,7 +116,7 @@
 }
 
 AttemptOutcome
-EndOf(const AttemptResult& aResult, bool aAbandoned)
+ToAttemptOutcome(const AttemptResult& aResult, bool aAbandoned)
 {
   if (aAbandoned) {
     return AttemptOutcome::Abandoned;
@@ -234,23 +241,23 @@
 RequestHandler::MakeUpstreamRequest(const CallerRequest& aRequest,
                                     const std::string& aId) const
 {
-  auto outgoing = std::make_shared<UpstreamRequest>();
-  outgoing->method = aRequest.method;
-  outgoing->target = aRequest.target;
-  outgoing->body = aRequest.body;
-  outgoing->hasBody = aRequest.hasBody;
-  outgoing->requestId = aId;
+  auto upstreamRequest = std::make_shared<UpstreamRequest>();
+  upstreamRequest->method = aRequest.method;
+  upstreamRequest->target = aRequest.target;
+  upstreamRequest->body = aRequest.body;
+  upstreamRequest->hasBody = aRequest.hasBody;
+  upstreamRequest->requestId = aId;
   http::ForEachEndToEnd(
     aRequest.fields, [&](std::string_view aName, std::string_view aValue) {
-      const bool ownField =
+      const bool setByThisHost =
         boost::beast::iequals(aName, mHeaders.deadline) ||
         boost::beast::iequals(aName, mHeaders.expectedInstance) ||
         boost::beast::iequals(aName, "Expect");
-      if (!ownField) {
-        http::AppendField(outgoing->fields, aName, aValue);
+      if (!setByThisHost) {
+        http::AppendField(upstreamRequest->fields, aName, aValue);
       }
     });
-  return outgoing;
+  return upstreamRequest;
 }
 
 CallerLimits
@@ -319,21 +326,22 @@
                              CallerRequest aRequest)
 {
   const std::string id = RequestIdOf(aRequest);
-  const auto asked =
+  const auto requestedMs =
     ParseNumber(http::FieldOf(aRequest.fields, mHeaders.deadline));
-  const Duration wait = milliseconds(
-    asked ? static_cast<int64_t>(std::min<uint64_t>(*asked, 3'600'000))
-          : kDefaultDeadline.count());
-  co_await AwaitFirstState(aContext,
-                           aRequest.arrived + Scaled(wait, kMaxStateWaitShare));
+  const Duration timeout = milliseconds(
+    requestedMs
+      ? static_cast<int64_t>(std::min<uint64_t>(*requestedMs, 3'600'000))
+      : kDefaultDeadline.count());
+  co_await AwaitFirstState(
+    aContext, aRequest.arrived + Scaled(timeout, kMaxStateWaitShare));
   if (!HasState()) {
     co_return MakeResponse(kUnavailable,
                            id,
-                           "no configuration is known yet",
+                           "this host has received no configuration yet",
                            Duration(kRetryAfterNoState));
   }
   if (id.empty()) {
-    co_return MakeResponse(kBadRequest, id, "the request has no id");
+    co_return MakeResponse(kBadRequest, id, "the request id header is missing");
   }
   const std::string_view host =
     WithoutPort(http::FieldOf(aRequest.fields, "Host"));
@@ -343,20 +351,22 @@
   RequestProgress progress;
   progress.route = mRoutes.Find(host, path);
   if (!progress.route) {
-    LogLine(id) << "no route host=" << host << " path=" << path
+    LogLine(id) << "no route matches the request host=" << host
+                << " path=" << path
                 << " index=" << mFeed.CurrentState().Applied().value
-                << " age_ms=" << Ms(mFeed.StateAge());
-    co_return MakeResponse(kNotFound, id, "no route matches");
+                << " age_ms=" << Milliseconds(mFeed.StateAge());
+    co_return MakeResponse(kNotFound, id, "no route matches the request");
   }
   progress.context = std::move(aContext);
   progress.service = NextService(*progress.route);
   progress.arrived = aRequest.arrived;
   progress.deadline =
-    progress.arrived + std::min(wait, Duration(progress.route->timeout));
+    progress.arrived + std::min(timeout, Duration(progress.route->timeout));
   if (OwnsKeys(progress.service)) {
     const auto key = ParseNumber(http::FieldOf(aRequest.fields, mHeaders.key));
     if (!key || *key > kMaxKey) {
-      co_return MakeResponse(kBadRequest, id, "the request has no key");
+      co_return MakeResponse(
+        kBadRequest, id, "the key header is missing or invalid");
     }
     progress.key = static_cast<uint32_t>(*key);
     CountKeyRequest(progress.service, *progress.key);
@@ -375,16 +385,16 @@
 RequestHandler::AwaitStateChange(std::shared_ptr<RequestContext> aContext,
                                  Instant aUntil)
 {
-  const auto place = mWaiters.insert(mWaiters.end(), aContext);
+  const auto waiter = mWaiters.insert(mWaiters.end(), aContext);
   aContext->WakeTimer().expires_after(aUntil - mClock.Now());
   co_await aContext->WakeTimer().async_wait(kAwait);
-  mWaiters.erase(place);
+  mWaiters.erase(waiter);
 }
 
-/// Safeguard: after all hosts were down, an entry has callers some tenths of a
-/// second before it has the state. Refused at once they come back once, within
-/// a third of the time they have left, and are refused again; kept for a part
-/// of it they are served, late.
+/// After a failure of all hosts, an entry receives requests some tenths of a
+/// second before it has the state. A caller that is rejected at once retries
+/// only once, within a third of its remaining time, and is rejected again. A
+/// request that waits for a part of its time is served, though late.
 asio::awaitable<void>
 RequestHandler::AwaitFirstState(std::shared_ptr<RequestContext> aContext,
                                 Instant aUntil)
@@ -397,18 +407,19 @@
 asio::awaitable<std::string>
 RequestHandler::AwaitOwner(RequestProgress& aProgress)
 {
-  const Instant giveUp = WaitDeadline(aProgress);
+  const Instant deadline = WaitDeadline(aProgress);
   for (;;) {
     const Instant now = mClock.Now();
     std::string owner = mSlots.Broker().Upstreams().OwnerOf(
       mFeed.CurrentState(), aProgress.service, *aProgress.key, now);
-    // Without an upstream that could take the key there is nothing to wait for.
-    const bool vain = !mSlots.Broker().Upstreams().CanServe(aProgress.service);
-    if (!owner.empty() || vain || now >= giveUp ||
+    // No instance may be sent requests, so no owner is to be expected.
+    const bool noUpstream =
+      !mSlots.Broker().Upstreams().CanServe(aProgress.service);
+    if (!owner.empty() || noUpstream || now >= deadline ||
         aProgress.context->IsCancelled()) {
       co_return owner;
     }
-    co_await AwaitStateChange(aProgress.context, giveUp);
+    co_await AwaitStateChange(aProgress.context, deadline);
   }
 }
 
@@ -421,8 +432,6 @@
                   aProgress.deadline - Duration(kMinAttemptTime));
 }
 
-/// @return whether its key has another owner than the one that it waited for,
-/// or will have one, and there is time to ask that one.
 bool
 RequestHandler::HasOwnerChanged(const RequestProgress& aProgress) const
 {
@@ -470,17 +479,20 @@
   aProgress.context->AttachAttempt(handle);
   const Duration left =
     aProgress.deadline - mClock.Now() - Duration(kReturnMargin);
-  // Named: a braced temporary in an awaited call is destroyed twice by the
-  // compiler that Debian 12 has.
   RecordSent(ApproximateBytes(*aProgress.request));
-  const UpstreamProcess peer{ slot.instance, slot.address, slot.incarnation };
-  AttemptResult result =
-    co_await mUpstreamClient.RoundTrip(peer, aProgress.request, left, handle);
+  // A named variable, as Debian 12's compiler destroys a braced temporary in a
+  // co_await expression twice.
+  const UpstreamProcess process{ slot.instance,
+                                 slot.address,
+                                 slot.incarnation };
+  AttemptResult result = co_await mUpstreamClient.RoundTrip(
+    process, aProgress.request, left, handle);
   aProgress.context->DetachAttempt();
   RecordLoadReport(slot.instance, result.response);
-  mSlots.Release(slot,
-                 EndOf(result, aProgress.context->IsCancelledByCallerOrHost()),
-                 result.elapsed);
+  mSlots.Release(
+    slot,
+    ToAttemptOutcome(result, aProgress.context->IsCancelledByCallerOrHost()),
+    result.elapsed);
   mMetrics.Increment("tries", AttemptLabel(result.kind));
   mMetrics.Observe("try", result.elapsed);
   aProgress.lastUpstream = slot.instance;
@@ -488,7 +500,8 @@
   co_return result;
 }
 
-/// What can't be read is counted and told nobody: the answer is good without.
+/// A load report that can't be decoded is only counted: the response is valid
+/// without it.
 void
 RequestHandler::RecordLoadReport(const std::string& aInstance,
                                  const UpstreamResponse& aResponse)
@@ -537,12 +550,13 @@
         ++unsent;
         continue;
       }
-      const SlotUnavailable& none = std::get<SlotUnavailable>(outcome);
-      const bool full = none.reason == UpstreamSet::UnavailableReason::Full;
+      const SlotUnavailable& unavailable = std::get<SlotUnavailable>(outcome);
+      const bool full =
+        unavailable.reason == UpstreamSet::UnavailableReason::Full;
       co_return NotExecutedResponse(aProgress,
-                                    none.retryAfter,
+                                    unavailable.retryAfter,
                                     full ? "all upstreams are full"
-                                         : "no upstream");
+                                         : "no upstream is available");
     }
     const bool late =
       mClock.Now() + Duration(kReturnMargin) >= aProgress.deadline;
@@ -593,7 +607,7 @@
     response.status = aResult.response.status;
     http::ForEachEndToEnd(aResult.response.fields,
                           [&](std::string_view aName, std::string_view aValue) {
-                            // Said to this host, and old when it arrives.
+                            // Meant for this host; outdated at the caller.
                             if (!boost::beast::iequals(aName, mHeaders.load)) {
                               http::AppendField(response.fields, aName, aValue);
                             }
@@ -607,12 +621,12 @@
     return NotExecutedResponse(aProgress, kRetryAfterFull, aResult.reason);
   }
   const bool timeout = aProgress.context->HasExpired();
-  LogLine(id) << "outcome unknown route=" << aProgress.route->name
+  LogLine(id) << "request outcome unknown route=" << aProgress.route->name
               << " service=" << aProgress.service
               << " upstream=" << aProgress.lastUpstream
               << " sent=" << aProgress.sentAttempts
               << " reason=" << aResult.reason
-              << " after_ms=" << Ms(mClock.Now() - aProgress.arrived);
+              << " after_ms=" << Milliseconds(mClock.Now() - aProgress.arrived);
   return MakeResponse(
     timeout ? kGatewayTimeout : kBadGateway, id, aResult.reason);
 }
@@ -626,15 +640,15 @@
   if (aProgress.mayHaveRun) {
     return MakeResponse(kBadGateway, id, aReason);
   }
-  LogLine(id) << "not run route=" << aProgress.route->name
+  LogLine(id) << "request not run route=" << aProgress.route->name
               << " service=" << aProgress.service << " key="
               << (aProgress.key ? std::to_string(*aProgress.key) : "-")
               << " reason=" << aReason << " last=" << aProgress.lastFailure
               << " owner=" << (aProgress.owner.empty() ? "-" : aProgress.owner)
               << " upstream=" << aProgress.lastUpstream
               << " index=" << mFeed.CurrentState().Applied().value
-              << " age_ms=" << Ms(mFeed.StateAge())
-              << " after_ms=" << Ms(mClock.Now() - aProgress.arrived);
+              << " age_ms=" << Milliseconds(mFeed.StateAge())
+              << " after_ms=" << Milliseconds(mClock.Now() - aProgress.arrived);
   return MakeResponse(kUnavailable, id, aReason, aRetryAfter);
 }
 
@@ -650,7 +664,8 @@
     http::AppendField(response.fields, mHeaders.requestId, aId);
   }
   if (aRetryAfter) {
-    http::AppendField(response.fields, "Retry-After", Seconds(*aRetryAfter));
+    http::AppendField(
+      response.fields, "Retry-After", FormatSeconds(*aRetryAfter));
   }
   http::AppendField(response.fields, "Content-Type", "text/plain");
   response.body = aText + "\n";
--- a/src/librattandyke/gateway/request_handler.h
+++ b/src/librattandyke/gateway/request_handler.h
@@ -1,4 +1,4 @@
-/// From a caller's whole request to the answer it gets.
+/// Handling of a caller's request on an entry host.
 #pragma once
 
 #include <functional>
@@ -27,19 +27,20 @@
 
 namespace rattandyke::gateway {
 
-/// Finds the route, chooses upstreams, makes tries and words the answer. Runs
-/// on one executor that runs one handler at a time.
+/// Handles callers' requests on an entry host: finds the route, acquires a slot
+/// of an upstream, sends the request, retries within the retry budget, and
+/// builds the response. Runs on one executor that runs one handler at a time.
 class RequestHandler : public CallerRequestHandler
 {
 public:
   struct Options
   {
     DataCentre dataCentre;
-    /// Second tries for each request that all hosts together may make.
+    /// Retries per first attempt, for all entry hosts together.
     double retryRatio = 0;
-    /// Second tries beyond these that all may make at a time.
+    /// Burst of retries beyond the ratio, for all entry hosts together.
     double retrySlack = 0;
-    /// Of the host's link; 0: not told.
+    /// Bandwidth of the host's link; 0 if not configured.
     double linkBytesPerSecond = 0;
   };
 
@@ -51,7 +52,10 @@
                  const Dialect& aDialect,
                  const Clock& aClock);
 
-  /// The state that the feed knows has changed.
+  /// Updates the routes and wakes waiting requests after a change of the
+  /// replicated state.
+  /// @param aCommand the applied command; null if a snapshot replaced the
+  /// state.
   void StateChanged(const wire::GatewayCommand* aCommand);
 
   CallerLimits Limits() const override;
@@ -67,92 +71,117 @@
 
   void CountClosedConnection(std::string_view aReason) override;
 
-  /// @return requests for keys since the last call, and times of upstreams.
+  /// @return the requests per key since the last call, and the service times of
+  /// upstreams that have changed.
   wire::FeedReport TakeLoadReport();
 
-  /// Closes connections that have been idle too long.
+  /// Closes connections to upstreams that have been idle for too long. Call it
+  /// at regular intervals.
   void Sweep();
 
-  /// Bytes were sent to another host.
+  /// Accounts for bytes that were sent to another host.
   void RecordSent(size_t aBytes)
   {
     mEgressQueue.RecordSent(aBytes, mClock.Now());
   }
 
-  /// @return what this host has counted, as a text page.
+  /// @return the metrics of this host as a text page.
   std::string MetricsPage();
 
 private:
-  /// About the bytes that a request's line and our own fields take.
+  /// Approximate size of a request line and of the headers that this host adds.
   static constexpr size_t kRequestLineBytes = 160;
 
-  /// One request on its way.
+  /// State of one request while it is handled.
   struct RequestProgress
   {
     std::shared_ptr<RequestContext> context;
     std::shared_ptr<Route> route;
     std::shared_ptr<const UpstreamRequest> request;
     std::string service;
+    /// Only if the keys of the service have owners.
     std::optional<uint32_t> key;
     Instant arrived{};
     Instant deadline{};
-    /// Upstreams that it was sent to.
+    /// Instances at which an attempt was made.
     std::set<std::string> attempted;
+    /// Attempts in which the request was sent.
     uint32_t sentAttempts = 0;
-    /// Somewhere it may have run.
+    /// The outcome of an attempt is unknown.
     bool mayHaveRun = false;
+    /// AttemptResult::reason of the last attempt.
     std::string lastFailure;
-    /// Of its key, when it last asked for a slot.
+    /// Owner of the key when the last slot was requested.
     std::string owner;
+    /// Instance of the last attempt.
     std::string lastUpstream;
   };
 
-  /// Requests whose keys have no owner at the moment.
+  /// Requests that wait for a change of the replicated state.
   using Waiters = std::list<std::weak_ptr<RequestContext>>;
 
   bool OwnsKeys(const std::string& aService) const;
   std::shared_ptr<const UpstreamRequest> MakeUpstreamRequest(
     const CallerRequest& aRequest,
     const std::string& aId) const;
+  /// @return the time until which a request waits for an owner or a slot.
   Instant WaitDeadline(const RequestProgress& aProgress) const;
+  /// @return whether the key has another owner than at the last slot request,
+  /// or none, and there is time to request a slot again.
   bool HasOwnerChanged(const RequestProgress& aProgress) const;
-  /// @return whether this host knows what operators have set.
+  /// @return whether this host has received the operators' configuration.
   bool HasState() const;
-  /// Waits until the state changes.
+  /// Waits for a change of the replicated state, for a cancellation of the
+  /// request, or until aUntil.
   boost::asio::awaitable<void> AwaitStateChange(
     std::shared_ptr<RequestContext> aContext,
     Instant aUntil);
+  /// Waits until HasState(), at most until aUntil.
   boost::asio::awaitable<void> AwaitFirstState(
     std::shared_ptr<RequestContext> aContext,
     Instant aUntil);
+  /// Waits until the request's key has an owner.
+  /// @return the owner's instance id, empty if there is none in time.
   boost::asio::awaitable<std::string> AwaitOwner(RequestProgress& aProgress);
   boost::asio::awaitable<SlotOutcome> AcquireSlot(RequestProgress& aProgress);
+  /// Finds the route of a request and runs it.
   boost::asio::awaitable<CallerResponse> RouteRequest(
     std::shared_ptr<RequestContext> aContext,
     CallerRequest aRequest);
-  /// Runs a request if the host's link has room for its answer.
+  /// Runs a request if the link budget admits it.
   boost::asio::awaitable<CallerResponse> RunIfLinkAdmits(
     RequestProgress& aProgress);
   static size_t ApproximateBytes(const UpstreamRequest& aRequest);
+  /// Acquires slots and makes attempts until one succeeds or the request may
+  /// not be retried.
   boost::asio::awaitable<CallerResponse> RunAttempts(
     RequestProgress& aProgress);
-  /// Waits until the host's link can take an answer.
+  /// Waits until the egress queue lets a response be written, or until the
+  /// request is cancelled.
   boost::asio::awaitable<void> AwaitSendTurn(
     std::shared_ptr<RequestContext> aContext,
     size_t aBytes,
     Instant aSendBy);
+  /// Starts the timer that wakes the responses at the head of the egress queue.
   void ArmEgressTimer();
+  /// Sends the request to the upstream of a slot and releases the slot.
   boost::asio::awaitable<AttemptResult> RunAttempt(RequestProgress& aProgress,
                                                    const Slot& aSlot);
-  /// Notes what the upstream told with its answer.
+  /// Records the load report in an upstream's response, if it has one.
   void RecordLoadReport(const std::string& aInstance,
                         const UpstreamResponse& aResponse);
+  /// @return whether the request may be sent again. If so, a retry is taken
+  /// from the retry budget.
   bool TryTakeRetry(RequestProgress& aProgress, const AttemptResult& aResult);
+  /// @return the response for the last attempt's result.
   CallerResponse FinalResponse(const RequestProgress& aProgress,
                                AttemptResult aResult) const;
+  /// @return a 503 that tells the caller that its request has not run, or a 502
+  /// if it may have run.
   CallerResponse NotExecutedResponse(const RequestProgress& aProgress,
                                      Duration aRetryAfter,
                                      const std::string& aReason) const;
+  /// @return a plain-text response of this host.
   CallerResponse MakeResponse(unsigned aStatus,
                               const std::string& aId,
                               const std::string& aText,
@@ -177,9 +206,10 @@
   ResponseSizes mResponseSizes;
   EgressQueue mEgressQueue;
   EgressQueue::Ticket mLastEgressTicket = 0;
-  /// Whose answers wait for the link.
+  /// Requests whose responses are in mEgressQueue.
   std::map<EgressQueue::Ticket, std::shared_ptr<RequestContext>> mEgressWaiters;
   boost::asio::steady_timer mEgressTimer;
+  /// Requests per service and key bucket since the last TakeLoadReport().
   std::map<std::string, std::map<uint32_t, uint32_t>> mKeyRequests;
 };
 
--- a/src/librattandyke/gateway/request_handler_link.cpp
+++ b/src/librattandyke/gateway/request_handler_link.cpp
@@ -1,4 +1,4 @@
-// What requests and answers take of the host's link.
+// RequestHandler: bandwidth of the host's link for requests and responses.
 #include "gateway/request_handler.h"
 
 #include <algorithm>
@@ -12,8 +12,8 @@
 namespace asio = boost::asio;
 using http::kAwait;
 
-/// Longest time for which an answer waits for the link; no answer does, unless
-/// the link is slower than it is taken for.
+/// Interval at which a response that waits for the link checks whether it may
+/// be written. Waits are shorter unless the link is slower than configured.
 constexpr std::chrono::seconds kMaxEgressWait{ 2 };
 
 } // namespace
@@ -74,17 +74,20 @@
 RequestHandler::RunIfLinkAdmits(RequestProgress& aProgress)
 {
   const size_t expected = mResponseSizes.Expected(aProgress.route->name);
-  const auto wait = mLinkBudget.Admit(aProgress.route->priority,
-                                      ApproximateBytes(*aProgress.request),
-                                      expected,
-                                      Duration(aProgress.route->timeout),
-                                      mClock.Now());
-  if (wait) {
+  const auto retryAfter =
+    mLinkBudget.Admit(aProgress.route->priority,
+                      ApproximateBytes(*aProgress.request),
+                      expected,
+                      Duration(aProgress.route->timeout),
+                      mClock.Now());
+  if (retryAfter) {
     mMetrics.Increment("link_refusals", "");
-    co_return NotExecutedResponse(aProgress, *wait, "the link is full");
+    co_return NotExecutedResponse(
+      aProgress, *retryAfter, "the host's link has no capacity");
   }
   CallerResponse response = co_await RunAttempts(aProgress);
-  // What came has been counted as expected; a refusal has brought nothing.
+  // Admit() has counted the expected bytes. An upstream's response has a
+  // sendBy; otherwise no response has arrived.
   if (response.sendBy > Instant{}) {
     mResponseSizes.Record(aProgress.route->name,
                           response.fields.size() + response.body.size());
--- a/src/librattandyke/gateway/retry_share_test.cpp
+++ b/src/librattandyke/gateway/retry_share_test.cpp
@@ -10,13 +10,14 @@
 namespace rattandyke::gateway {
 namespace {
 
-/// Second tries of many entries while upstreams refuse all that they are sent.
-struct Shed
+/// Simulates the retries of many entries while upstreams reject all requests.
+struct RetrySimulation
 {
   static constexpr FleetRetryLimits kLimits{ 0.2, 1040 };
+  /// Requests over which the limits are checked.
   static constexpr size_t kWindow = 15000;
 
-  explicit Shed(size_t aEntryCount)
+  explicit RetrySimulation(size_t aEntryCount)
   {
     std::mt19937 random(7);
     std::vector<std::unique_ptr<entry::RetryBudget>> budgets;
@@ -29,31 +30,35 @@
     for (size_t request = 0; request < 5 * kWindow; ++request) {
       entry::RetryBudget& budget = *budgets[random() % aEntryCount];
       budget.OnFirstSend();
-      const size_t tries = budget.TryTake() ? 1 : 0;
-      all += tries;
-      inWindow += tries;
-      window.push_back(tries);
+      const size_t retries = budget.TryTake() ? 1 : 0;
+      total += retries;
+      inWindow += retries;
+      window.push_back(retries);
       if (window.size() > kWindow) {
         inWindow -= window.front();
         window.pop_front();
       }
-      most = std::max(most, inWindow);
+      maxInWindow = std::max(maxInWindow, inWindow);
     }
   }
 
-  size_t all = 0;
-  size_t most = 0;
+  size_t total = 0;
+  /// Most retries within kWindow requests.
+  size_t maxInWindow = 0;
 };
 
-// Guards against a share of the slack below one try, with which a large fleet
-// never tries again while upstreams refuse half of what they are sent.
-TEST(RetryShare, TriesAreMadeHoweverManyEntriesThereAre)
+// Guards against a share of the burst below one token, with which the hosts of
+// a large fleet never retry while upstreams reject half of their requests.
+TEST(RetryShare, EntriesRetryWithinLimitsAtAnyFleetSize)
 {
   for (const size_t entries : { 8U, 80U, 985U, 2000U }) {
-    const Shed shed(entries);
-    EXPECT_GE(shed.all, Shed::kLimits.ratio * 5 * Shed::kWindow / 2) << entries;
-    EXPECT_LE(shed.most,
-              Shed::kLimits.ratio * Shed::kWindow + Shed::kLimits.burst)
+    const RetrySimulation simulation(entries);
+    EXPECT_GE(simulation.total,
+              RetrySimulation::kLimits.ratio * 5 * RetrySimulation::kWindow / 2)
+      << entries;
+    EXPECT_LE(simulation.maxInWindow,
+              RetrySimulation::kLimits.ratio * RetrySimulation::kWindow +
+                RetrySimulation::kLimits.burst)
       << entries;
   }
 }
--- a/src/librattandyke/gateway/upstream_client.cpp
+++ b/src/librattandyke/gateway/upstream_client.cpp
@@ -31,49 +31,53 @@
 using ErrorCode = boost::system::error_code;
 using Parser = beast::http::response_parser<beast::http::string_body>;
 
-/// Upstreams are a few milliseconds away; one that takes longer to accept a
-/// connection is gone or full.
+/// Upstreams are a few milliseconds away. One that takes longer to accept a
+/// connection is down or overloaded.
 constexpr milliseconds kConnectTimeout{ 250 };
-/// Idle time after which a connection is not used again if the upstream does
-/// not say how long it keeps them.
+/// Idle time after which a connection is not reused if the upstream sends no
+/// Keep-Alive timeout.
 constexpr milliseconds kDefaultIdleLifetime{ 4000 };
-/// Taken off what the upstream says, so that no request crosses its close.
+/// Subtracted from the upstream's Keep-Alive timeout, so that the upstream does
+/// not close the connection while a request is in transit.
 constexpr milliseconds kIdleLifetimeMargin{ 1000 };
+/// Time after which a connection with unacknowledged data is closed.
 constexpr milliseconds kUnacknowledgedTimeout{ 1000 };
-/// Safeguard: a request whose time ran out while this host was held up is not
-/// sent. The time it has left is told in whole milliseconds, and upstreams take
-/// none for no limit: they would work for a caller that is gone.
+/// Shortest remaining time with which a request is sent. The deadline header is
+/// in whole milliseconds, and upstreams treat 0 as no limit: if a pause of this
+/// host used up the time, the upstream would work for a caller that is gone.
 constexpr milliseconds kMinDeadline{ 1 };
-/// Answers to other requests that are skipped before the connection is given
-/// up.
+/// Responses to other requests that are skipped before the attempt fails.
 constexpr int kMaxSkippedResponses = 3;
-/// Bodies up to this are written before the answer is read; longer ones beside
-/// it, since an upstream may answer before it has read them.
+/// Bodies up to this size are written before the response is read. Longer ones
+/// are written concurrently, as an upstream may respond before it has read
+/// them.
 constexpr size_t kMaxInlineBodyBytes = size_t{ 32 } * 1024;
 constexpr unsigned kMisdirected = 421;
 constexpr unsigned kFirstSuccess = 200;
 constexpr unsigned kFirstRedirect = 300;
 
-/// @return whether a status promises that the request never ran and never will.
+/// @return whether a status tells a caller that its request has not run and
+/// never will.
 bool
 ImpliesNotExecuted(unsigned aStatus)
 {
-  constexpr std::array kPromises{ 408U, 421U, 429U, 503U };
-  return std::find(kPromises.begin(), kPromises.end(), aStatus) !=
-         kPromises.end();
+  constexpr std::array kStatuses{ 408U, 421U, 429U, 503U };
+  return std::find(kStatuses.begin(), kStatuses.end(), aStatus) !=
+         kStatuses.end();
 }
 
-/// @return whether an idle connection is still open and has nothing to read:
-/// what arrives unasked belongs to no request of ours.
+/// @return whether an idle connection is open and has no input. Input on an
+/// idle connection belongs to no request of this host.
 bool
 IsOpenAndIdle(tcp::socket& aSocket)
 {
   char byte = 0;
-  const ssize_t got = ::recv(
+  const ssize_t received = ::recv(
     aSocket.native_handle(), &byte, sizeof(byte), MSG_PEEK | MSG_DONTWAIT);
-  return got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
+  return received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
+/// @return time for which a connection may be idle after a response.
 Duration
 IdleLifetime(const UpstreamResponse& aResponse)
 {
@@ -101,11 +105,11 @@
 asio::awaitable<void>
 WriteBody(std::shared_ptr<UpstreamConnection> aConnection,
           std::shared_ptr<const UpstreamRequest> aRequest,
-          std::shared_ptr<bool> aDone)
+          std::shared_ptr<bool> aWritten)
 {
   auto [error, bytes] = co_await asio::async_write(
     aConnection->socket, asio::buffer(aRequest->body), kAwait);
-  *aDone = !error;
+  *aWritten = !error;
 }
 
 } // namespace
@@ -113,15 +117,15 @@
 ConnectionPool::IdleConnections&
 ConnectionPool::ConnectionsTo(const UpstreamProcess& aProcess)
 {
-  IdleConnections& kept = mIdle[aProcess.instance];
-  if (kept.process != aProcess) {
-    for (const auto& connection : kept.idle) {
+  IdleConnections& connections = mIdle[aProcess.instance];
+  if (connections.process != aProcess) {
+    for (const auto& connection : connections.idle) {
       connection->Close();
     }
-    kept.idle.clear();
-    kept.process = aProcess;
+    connections.idle.clear();
+    connections.process = aProcess;
   }
-  return kept;
+  return connections;
 }
 
 std::shared_ptr<UpstreamConnection>
@@ -143,9 +147,9 @@
 ConnectionPool::Put(const UpstreamProcess& aProcess,
                     std::shared_ptr<UpstreamConnection> aConnection)
 {
-  const auto kept = mIdle.find(aProcess.instance);
-  if (kept != mIdle.end() && kept->second.process != aProcess) {
-    aConnection->Close(); // Its process has been followed by another.
+  const auto found = mIdle.find(aProcess.instance);
+  if (found != mIdle.end() && found->second.process != aProcess) {
+    aConnection->Close(); // It belongs to another incarnation.
     return;
   }
   ConnectionsTo(aProcess).idle.push_back(std::move(aConnection));
@@ -193,9 +197,9 @@
   auto connection = std::make_shared<UpstreamConnection>(mExecutor);
   aHandle->AttachConnection(connection);
   ++mConnectionsOpened;
-  // Safeguard: the timer may have run out in the moment in which the connection
-  // stands; its handler is then called although it was cancelled. It would
-  // close the connection in the middle of the request, which may have run.
+  // If the timer expires at the moment the connection is established, its
+  // handler runs although the timer is cancelled. Without this flag it would
+  // close the connection during the request, which may have run by then.
   auto connecting = std::make_shared<bool>(true);
   asio::steady_timer timer(mExecutor, kConnectTimeout);
   timer.async_wait([connection, connecting](ErrorCode aError) {
@@ -255,8 +259,9 @@
     if (!connection || aHandle->IsCancelled()) {
       aHandle->DetachConnection();
       co_return MakeResult(AttemptResult::Kind::NotSent,
-                           aHandle->IsCancelled() ? aHandle->CancelReason()
-                                                  : "can't be reached");
+                           aHandle->IsCancelled()
+                             ? aHandle->CancelReason()
+                             : "the upstream can't be reached");
     }
   }
   const Instant sentAt = mClock.Now();
@@ -264,11 +269,12 @@
   if (left < Duration(kMinDeadline)) {
     aHandle->DetachConnection();
     PoolOrClose(aProcess, connection);
-    co_return MakeResult(AttemptResult::Kind::NotSent, "no time is left");
+    co_return MakeResult(AttemptResult::Kind::NotSent,
+                         "no time is left to send the request");
   }
   std::string head = FormatHead(aProcess.instance, *aRequest, left);
-  const bool ahead = aRequest->body.size() <= kMaxInlineBodyBytes;
-  if (ahead) {
+  const bool bodyInline = aRequest->body.size() <= kMaxInlineBodyBytes;
+  if (bodyInline) {
     head += aRequest->body;
   }
   auto [writeError, written] =
@@ -277,15 +283,15 @@
     aHandle->DetachConnection();
     connection->Close();
     co_return MakeResult(AttemptResult::Kind::OutcomeUnknown,
-                         "writing failed: " + writeError.message());
+                         "writing the request failed: " + writeError.message());
   }
-  auto wholeBody = std::make_shared<bool>(ahead);
-  if (!ahead) {
+  auto bodyWritten = std::make_shared<bool>(bodyInline);
+  if (!bodyInline) {
     asio::co_spawn(
-      mExecutor, WriteBody(connection, aRequest, wholeBody), asio::detached);
+      mExecutor, WriteBody(connection, aRequest, bodyWritten), asio::detached);
   }
   AttemptResult result =
-    co_await ReadResponse(connection, aRequest, aProcess.instance, ahead);
+    co_await ReadResponse(connection, aRequest, aProcess.instance, bodyInline);
   aHandle->DetachConnection();
   result.elapsed = mClock.Now() - sentAt;
   if (aHandle->IsCancelled() &&
@@ -295,7 +301,7 @@
   }
   const bool reusable = result.kind == AttemptResult::Kind::Response ||
                         result.kind == AttemptResult::Kind::NotExecuted;
-  if (reusable && *wholeBody && !aHandle->IsCancelled()) {
+  if (reusable && *bodyWritten && !aHandle->IsCancelled()) {
     PoolOrClose(aProcess, connection);
   } else {
     connection->Close();
@@ -310,8 +316,9 @@
 {
   if (aConnection->buffer.size() == 0 &&
       aConnection->usableUntil > mClock.Now()) {
-    // Some hundred are kept, one for each upstream that was met in the last
-    // seconds, and each would keep the room of its longest answer.
+    // The pool holds some hundred connections, one for each upstream used in
+    // the last seconds; each buffer would keep the capacity of its longest
+    // response.
     aConnection->buffer.shrink_to_fit();
     mPool.Put(aProcess, aConnection);
   } else {
@@ -333,33 +340,33 @@
       aConnection->socket, aConnection->buffer, parser, kAwait);
     if (error) {
       co_return MakeResult(AttemptResult::Kind::OutcomeUnknown,
-                           "no whole answer: " + error.message());
+                           "the response is incomplete: " + error.message());
     }
     auto& message = parser.get();
     UpstreamResponse response;
     response.status = message.result_int();
-    const bool kept = message.keep_alive() && !parser.need_eof();
+    const bool keepAlive = message.keep_alive() && !parser.need_eof();
     response.body = std::move(message.body());
     response.fields = std::move(message.base());
     aConnection->usableUntil = {};
     const std::string_view id =
       http::FieldOf(response.fields, mHeaders.requestId);
     if (!id.empty() && id != aRequest->requestId) {
-      // Safeguard: an upstream may send an answer twice, late. Taken for ours,
-      // a caller would get what belongs to another.
-      if (!kept) {
+      // An upstream may send a late duplicate of an earlier response. It must
+      // not reach the caller of this request.
+      if (!keepAlive) {
         co_return MakeResult(AttemptResult::Kind::OutcomeUnknown,
-                             "the answer belongs to another request");
+                             "the response belongs to another request");
       }
       continue;
     }
-    if (kept && skipped == 0) {
+    if (keepAlive && skipped == 0) {
       aConnection->usableUntil = mClock.Now() + IdleLifetime(response);
     }
     co_return Classify(std::move(response));
   }
   co_return MakeResult(AttemptResult::Kind::OutcomeUnknown,
-                       "too many answers to other requests");
+                       "too many responses to other requests");
 }
 
 AttemptResult
@@ -374,24 +381,28 @@
       (aResponse.status == kMisdirected || has(mHeaders.notExecuted))) {
     AttemptResult result =
       MakeResult(AttemptResult::Kind::NotExecuted,
-                 "refused with " + std::to_string(aResponse.status));
+                 "the upstream refused the request with status " +
+                   std::to_string(aResponse.status));
     result.response = std::move(aResponse);
     return result;
   }
-  // Safeguard: these statuses promise a caller that its request has not run.
-  // Without the proof the upstream promises nothing, and neither may this host.
+  // These statuses tell a caller that its request has not run. Without the
+  // not-executed header the upstream does not guarantee this, so this host must
+  // not pass such a status on.
   if (ImpliesNotExecuted(aResponse.status)) {
     return MakeResult(AttemptResult::Kind::OutcomeUnknown,
-                      "refused with " + std::to_string(aResponse.status) +
-                        " and without proof");
+                      "the upstream refused the request with status " +
+                        std::to_string(aResponse.status) +
+                        " without proof that the request did not run");
   }
-  // Safeguard: a faulty upstream may send bytes that look like an answer. Its
-  // signature and the request's id show that it is one.
+  // A faulty upstream may send data that looks like a response. The signature
+  // and the request id show that it is genuine. This host requests no content
+  // encoding.
   if (!has(mHeaders.signature) || !has(mHeaders.requestId) ||
       has("Content-Encoding")) {
     return MakeResult(AttemptResult::Kind::OutcomeUnknown,
-                      "the answer " + std::to_string(aResponse.status) +
-                        " is not the upstream's own");
+                      "the response " + std::to_string(aResponse.status) +
+                        " is not genuine");
   }
   AttemptResult result = MakeResult(AttemptResult::Kind::Response, "");
   result.response = std::move(aResponse);
--- a/src/librattandyke/gateway/upstream_client.h
+++ b/src/librattandyke/gateway/upstream_client.h
@@ -1,4 +1,4 @@
-/// One try of a request at one upstream.
+/// HTTP client of an entry host for requests to upstreams.
 #pragma once
 
 #include <deque>
@@ -19,7 +19,7 @@
 
 namespace rattandyke::gateway {
 
-/// A connection to an upstream.
+/// A TCP connection to an upstream, with its read buffer.
 struct UpstreamConnection
 {
   explicit UpstreamConnection(const boost::asio::any_io_executor& aExecutor)
@@ -29,43 +29,49 @@
 
   void Close()
   {
-    boost::system::error_code ignored; // It is given up either way.
+    boost::system::error_code
+      ignored; // The socket is closed even after an error.
     socket.close(ignored);
   }
 
   boost::asio::ip::tcp::socket socket;
   boost::beast::flat_buffer buffer;
-  /// Until then the upstream keeps it while it is idle.
+  /// Time until which the idle connection may be used for a request; the
+  /// upstream may close it later. Instant{} if it must not be used again.
   Instant usableUntil{};
 };
 
-/// A process to which a request is sent.
+/// Identifies one process of an upstream, the target of a request.
 struct UpstreamProcess
 {
   std::string instance;
   std::string address;
-  /// Tells apart processes that start again under one instance's id.
+  /// Distinguishes successive processes with the same instance id.
   uint64_t incarnation = 0;
   bool operator==(const UpstreamProcess&) const = default;
 };
 
-/// Idle connections to upstreams, by instance. Not thread-safe.
+/// Pool of idle connections to upstreams, by instance. Not thread-safe.
 ///
-/// Safeguard: a connection to a process that has ended silently looks open; a
-/// request sent on it may or may not have run. So connections are kept for one
-/// life of an instance only.
+/// A connection to a process that ended without closing it still looks open,
+/// and the outcome of a request sent on it is unknown. So connections are
+/// reused only within one incarnation of an instance.
 class ConnectionPool
 {
 public:
-  /// @return an idle connection that is still good, or nullptr.
+  /// Removes a connection from the pool.
+  /// @return an idle connection that is still usable, or nullptr.
   std::shared_ptr<UpstreamConnection> Take(const UpstreamProcess& aProcess,
                                            Instant aNow);
 
+  /// Adds a connection, or closes it if the pool holds connections to another
+  /// process of the instance.
   void Put(const UpstreamProcess& aProcess,
            std::shared_ptr<UpstreamConnection> aConnection);
 
-  /// Closes what has been idle too long, and connections to instances that are
-  /// gone.
+  /// Closes connections that have been idle for too long, and those to
+  /// instances that are no longer registered.
+  /// @param aIsRegistered bool(const std::string& aInstance).
   template<typename IsRegistered>
   void Sweep(Instant aNow, IsRegistered aIsRegistered)
   {
@@ -83,30 +89,30 @@
   struct IdleConnections
   {
     UpstreamProcess process;
-    /// Oldest first; the newest is taken first, so that the others time out.
+    /// Oldest first. Take() takes the newest, so that unneeded ones time out.
     std::deque<std::shared_ptr<UpstreamConnection>> idle;
   };
 
-  /// @return the connections to a process, without those to earlier ones.
+  /// @return the connections to a process. Closes those to other incarnations.
   IdleConnections& ConnectionsTo(const UpstreamProcess& aProcess);
 
   std::map<std::string, IdleConnections> mIdle;
 };
 
-/// What is sent.
+/// A request as it is sent to an upstream.
 struct UpstreamRequest
 {
   std::string method;
   std::string target;
-  /// Header lines that are the same at every try, each with its line's end.
+  /// Header lines that are the same in every attempt, each terminated by CRLF.
   std::string fields;
   std::string body;
-  /// A body of length 0 is marked, too.
+  /// The request has a body, which may have length 0.
   bool hasBody = false;
   std::string requestId;
 };
 
-/// An upstream's whole answer.
+/// An upstream's response, read in full.
 struct UpstreamResponse
 {
   unsigned status = 0;
@@ -114,42 +120,44 @@
   std::string body;
 };
 
-/// How a try ended, by what is known of the request.
+/// Result of one attempt to send a request to an upstream.
 struct AttemptResult
 {
+  /// What is known about the execution of the request.
   enum class Kind
   {
-    /// A whole answer that is the upstream's own, to this request.
+    /// The upstream sent a complete, signed response to this request.
     Response,
-    /// The upstream has not run the request, and never will.
+    /// The upstream refused the request: it has not run it and never will.
     NotExecuted,
-    /// Nothing was sent.
+    /// No part of the request was sent.
     NotSent,
-    /// Sent; it may have run.
+    /// The request was sent and may have run.
     OutcomeUnknown,
   };
   Kind kind = Kind::NotSent;
   UpstreamResponse response;
-  /// Why, for the log.
+  /// Description for the log; empty for Kind::Response.
   std::string reason;
-  /// The upstream kept silent until the try was cut off.
+  /// The attempt was cancelled while it waited for the response.
   bool cancelled = false;
-  /// Time since the request was sent.
+  /// Time from sending the request to the end of the attempt; 0 if the request
+  /// could not be written.
   Duration elapsed{};
 };
 
-/// The try can be cut off from outside: its connection is then closed, which
-/// ends the upstream's work.
+/// Cancels an attempt from outside. The attempt's connection is closed, which
+/// makes the upstream stop working on the request.
 class AttemptHandle
 {
 public:
-  /// @param aReason appears in the result.
+  /// @param aReason becomes the reason in the attempt's result.
   void Cancel(std::string aReason);
 
   bool IsCancelled() const { return mCancelled; }
   const std::string& CancelReason() const { return mReason; }
 
-  /// For the exchange: what Abort closes.
+  /// For UpstreamClient: the connection that Cancel() closes.
   void AttachConnection(std::shared_ptr<UpstreamConnection> aConnection);
   void DetachConnection() { mConnection.reset(); }
 
@@ -159,7 +167,8 @@
   std::string mReason;
 };
 
-/// Makes tries over kept connections.
+/// Sends requests to upstreams over pooled HTTP/1.1 connections, one request at
+/// a time per connection. Runs on one executor that runs one handler at a time.
 class UpstreamClient
 {
 public:
@@ -168,7 +177,9 @@
                  const HeaderNames& aHeaders,
                  const Clock& aClock);
 
-  /// @param aTimeLeft time that the upstream is given.
+  /// Sends a request and reads the response: one attempt.
+  /// @param aTimeLeft time for the response, sent as the deadline header.
+  /// @param aHandle   cancels the attempt.
   boost::asio::awaitable<AttemptResult> RoundTrip(
     UpstreamProcess aProcess,
     std::shared_ptr<const UpstreamRequest> aRequest,
@@ -177,7 +188,7 @@
 
   ConnectionPool& Pool() { return mPool; }
 
-  /// Connections made since the start.
+  /// @return the number of connections opened since the start.
   uint64_t ConnectionsOpened() const { return mConnectionsOpened; }
 
 private:
@@ -192,9 +203,11 @@
     std::shared_ptr<const UpstreamRequest> aRequest,
     std::string aInstance,
     bool aBodyWritten);
-  /// Keeps a connection on which nothing is under way, if it may be used again.
+  /// Returns an idle connection to the pool, or closes it if it must not be
+  /// reused.
   void PoolOrClose(const UpstreamProcess& aProcess,
                    const std::shared_ptr<UpstreamConnection>& aConnection);
+  /// @return what a response to this request says about its execution.
   AttemptResult Classify(UpstreamResponse aResponse) const;
 
   const boost::asio::any_io_executor mExecutor;
--- a/src/librattandyke/gateway/upstream_client_test.cpp
+++ b/src/librattandyke/gateway/upstream_client_test.cpp
@@ -25,11 +25,11 @@
 const HeaderNames kNames{ "Id",      "Deadline", "Signature", "Expected",
                           "Not-Run", "Instance", "Key" };
 
-/// More than an exchange waits for a connection to stand.
-constexpr milliseconds kLongerThanConnecting{ 300 };
+/// Longer than UpstreamClient waits for a connection.
+constexpr milliseconds kLongerThanConnectTimeout{ 300 };
 
-/// Answers each request on a connection with the next of some texts, then
-/// closes if it is told to.
+/// Upstream that responds to each request with the next of the given texts, and
+/// closes the connection after the last.
 class ScriptedUpstream
 {
 public:
@@ -85,19 +85,19 @@
 };
 
 std::string
-AnswerTo(const std::string& aId,
-         const std::string& aBody,
-         const std::string& aFields = "Signature: s\r\n",
-         const std::string& aStatus = "200 OK")
+ResponseTo(const std::string& aId,
+           const std::string& aBody,
+           const std::string& aFields = "Signature: s\r\n",
+           const std::string& aStatus = "200 OK")
 {
   return "HTTP/1.1 " + aStatus + "\r\nId: " + aId + "\r\n" + aFields +
          "Content-Length: " + std::to_string(aBody.size()) + "\r\n\r\n" + aBody;
 }
 
-class ExchangerTest : public ::testing::Test
+class UpstreamClientTest : public ::testing::Test
 {
 protected:
-  /// Sends requests "r-1", "r-2", ... one after the other.
+  /// Sends aCount requests with the ids "r-1", "r-2", ... in sequence.
   std::vector<AttemptResult> Send(std::vector<std::string> aTexts,
                                   size_t aCount = 1)
   {
@@ -115,7 +115,7 @@
       request->target = "/x";
       request->requestId = "r-" + std::to_string(number);
       const UpstreamProcess process{ "i-1", upstream->Address() };
-      results.push_back(co_await exchanger.RoundTrip(
+      results.push_back(co_await client.RoundTrip(
         process, request, left, std::make_shared<AttemptHandle>()));
     }
     context.stop();
@@ -123,7 +123,7 @@
 
   SystemClock clock;
   asio::io_context context;
-  UpstreamClient exchanger{ context.get_executor(), kNames, clock };
+  UpstreamClient client{ context.get_executor(), kNames, clock };
   Duration left = std::chrono::seconds{ 1 };
   std::unique_ptr<ScriptedUpstream> upstream;
   std::vector<AttemptResult> results;
@@ -131,11 +131,11 @@
 
 using Kind = AttemptResult::Kind;
 
-TEST_F(ExchangerTest, NamesTheInstanceAndTheTimeLeft)
+TEST_F(UpstreamClientTest, SendsInstanceAndRemainingTime)
 {
-  const auto got = Send({ AnswerTo("r-1", "hello") });
-  ASSERT_EQ(got[0].kind, Kind::Response);
-  EXPECT_EQ(got[0].response.body, "hello");
+  const auto attempts = Send({ ResponseTo("r-1", "hello") });
+  ASSERT_EQ(attempts[0].kind, Kind::Response);
+  EXPECT_EQ(attempts[0].response.body, "hello");
   const std::string& head = upstream->Heads().front();
   EXPECT_NE(head.find("Expected: i-1\r\n"), std::string::npos);
   const size_t at = head.find("Deadline: ");
@@ -143,153 +143,170 @@
   EXPECT_LE(std::stoi(head.substr(at + 10)), 1000);
 }
 
-// The host is held up until the request's time is over. Sent now, it would tell
-// the upstream of no time left, which many take for no limit: it would run for
-// a caller that is gone. It is not sent, and nothing else is lost by it.
-TEST_F(ExchangerTest, RequestWhoseTimeIsOverIsNotSent)
+// Guards against work for a caller that is gone: a pause of the host uses up
+// the request's time. The deadline header would be 0, which many upstreams
+// treat as no limit.
+TEST_F(UpstreamClientTest, ExpiredRequestIsNotSent)
 {
   for (const Duration time :
        { Duration(milliseconds{ -853 }), Duration::zero() }) {
     left = time;
-    const auto got = Send({ AnswerTo("r-1", "a") });
-    ASSERT_EQ(got.size(), 1U);
-    EXPECT_EQ(got[0].kind, Kind::NotSent);
+    const auto attempts = Send({ ResponseTo("r-1", "a") });
+    ASSERT_EQ(attempts.size(), 1U);
+    EXPECT_EQ(attempts[0].kind, Kind::NotSent);
     EXPECT_TRUE(upstream->Heads().empty());
     context.restart();
     results.clear();
   }
 }
 
-TEST_F(ExchangerTest, KeptConnectionIsUsedAgain)
+TEST_F(UpstreamClientTest, IdleConnectionIsReused)
 {
-  const auto got = Send({ AnswerTo("r-1", "a"), AnswerTo("r-2", "b") }, 2);
-  EXPECT_EQ(got[1].response.body, "b");
+  const auto attempts =
+    Send({ ResponseTo("r-1", "a"), ResponseTo("r-2", "b") }, 2);
+  EXPECT_EQ(attempts[1].response.body, "b");
   EXPECT_EQ(upstream->Connections(), 1U);
 }
 
-// An upstream sends the answer to an earlier request again, just before the
-// one that is awaited. The caller must get its own, and the connection, on
-// which more may come, must not be used again.
-TEST_F(ExchangerTest, AnswerToAnotherRequestIsSkipped)
+// An upstream repeats the response to an earlier request before the expected
+// one. The caller must get the expected one, and the connection must not be
+// reused, as it may carry further duplicates.
+TEST_F(UpstreamClientTest, ResponseToAnotherRequestIsSkipped)
 {
-  const auto got = Send(
-    { AnswerTo("r-0", "old") + AnswerTo("r-1", "new"), AnswerTo("r-2", "b") },
-    2);
-  ASSERT_EQ(got[0].kind, Kind::Response);
-  EXPECT_EQ(got[0].response.body, "new");
-  EXPECT_EQ(got[1].response.body, "b");
+  const auto attempts =
+    Send({ ResponseTo("r-0", "old") + ResponseTo("r-1", "new"),
+           ResponseTo("r-2", "b") },
+         2);
+  ASSERT_EQ(attempts[0].kind, Kind::Response);
+  EXPECT_EQ(attempts[0].response.body, "new");
+  EXPECT_EQ(attempts[1].response.body, "b");
   EXPECT_EQ(upstream->Connections(), 2U);
 }
 
-// An upstream sends a second answer after the one that was awaited. It must not
-// be taken for the answer to the next request.
-TEST_F(ExchangerTest, ExtraAnswerEndsTheConnection)
+// An upstream sends a second response after the expected one. It must not be
+// taken for the response to the next request.
+TEST_F(UpstreamClientTest, ExtraResponseEndsReuse)
 {
-  const auto got = Send(
-    { AnswerTo("r-1", "a") + AnswerTo("r-1", "again"), AnswerTo("r-2", "b") },
-    2);
-  EXPECT_EQ(got[0].response.body, "a");
-  EXPECT_EQ(got[1].response.body, "b");
+  const auto attempts =
+    Send({ ResponseTo("r-1", "a") + ResponseTo("r-1", "again"),
+           ResponseTo("r-2", "b") },
+         2);
+  EXPECT_EQ(attempts[0].response.body, "a");
+  EXPECT_EQ(attempts[1].response.body, "b");
   EXPECT_EQ(upstream->Connections(), 2U);
 }
 
-// A faulty upstream sends a success without its signature, without the
-// request's id, or with an encoding that nobody asked for. None of these bytes
-// are its answer; the request may have run.
-TEST_F(ExchangerTest, SuccessThatIsNotTheUpstreamsOwnIsNoAnswer)
+// A faulty upstream sends a success without its signature, or with a content
+// encoding that was not requested. Neither may reach the caller as a response;
+// the request may have run.
+TEST_F(UpstreamClientTest, UnsignedSuccessIsOutcomeUnknown)
 {
-  EXPECT_EQ(Send({ AnswerTo("r-1", "x", "") })[0].kind, Kind::OutcomeUnknown);
+  EXPECT_EQ(Send({ ResponseTo("r-1", "x", "") })[0].kind, Kind::OutcomeUnknown);
 }
 
-TEST_F(ExchangerTest, EncodedSuccessIsNoAnswer)
+TEST_F(UpstreamClientTest, EncodedSuccessIsOutcomeUnknown)
 {
-  EXPECT_EQ(Send({ AnswerTo(
+  EXPECT_EQ(Send({ ResponseTo(
               "r-1", "x", "Signature: s\r\nContent-Encoding: gzip\r\n") })[0]
               .kind,
             Kind::OutcomeUnknown);
 }
 
-TEST_F(ExchangerTest, BytesThatAreNoAnswerAreNoAnswer)
+TEST_F(UpstreamClientTest, NonHttpBytesAreOutcomeUnknown)
 {
   EXPECT_EQ(Send({ "SSH-2.0-x\r\n\r\n" })[0].kind, Kind::OutcomeUnknown);
 }
 
-// The connection breaks in the middle of the body. What came must not be passed
-// on as if it were whole.
-TEST_F(ExchangerTest, TruncatedAnswerIsNoAnswer)
+// The connection breaks in the middle of the body. The received part must not
+// reach the caller as a complete response.
+TEST_F(UpstreamClientTest, TruncatedResponseIsOutcomeUnknown)
 {
-  std::string text = AnswerTo("r-1", "0123456789");
+  std::string text = ResponseTo("r-1", "0123456789");
   text.resize(text.size() - 4);
   EXPECT_EQ(Send({ text })[0].kind, Kind::OutcomeUnknown);
 }
 
-TEST_F(ExchangerTest, RefusalsProveThatNothingRan)
+TEST_F(UpstreamClientTest, MisdirectedRequestIsNotExecuted)
 {
   EXPECT_EQ(
-    Send({ AnswerTo("r-1", "", "", "421 Misdirected Request") })[0].kind,
+    Send({ ResponseTo("r-1", "", "", "421 Misdirected Request") })[0].kind,
     Kind::NotExecuted);
 }
 
-TEST_F(ExchangerTest, FullUpstreamProvesThatNothingRan)
+TEST_F(UpstreamClientTest, NotExecutedHeaderProvesNonExecution)
 {
-  EXPECT_EQ(Send({ AnswerTo(
+  EXPECT_EQ(Send({ ResponseTo(
               "r-1", "", "Not-Run: 1\r\n", "503 Service Unavailable") })[0]
               .kind,
             Kind::NotExecuted);
 }
 
-// A 503 without the proof says nothing: the request may have run.
-TEST_F(ExchangerTest, FailureWithoutProofIsNoRefusal)
+// A 503 without the not-executed header proves nothing: the request may have
+// run.
+TEST_F(UpstreamClientTest, FailureWithoutProofMayHaveRun)
 {
   EXPECT_NE(
-    Send({ AnswerTo("r-1", "", "", "503 Service Unavailable") })[0].kind,
+    Send({ ResponseTo("r-1", "", "", "503 Service Unavailable") })[0].kind,
     Kind::NotExecuted);
 }
 
-/// What an upstream sends, and what is known of the request then.
-struct Proof
+/// A response of an upstream and the expected classification.
+struct ClassifiedResponse
 {
   const char* status;
   const char* fields;
-  Kind known;
+  Kind expected;
 };
 
-class ProofTest
-  : public ExchangerTest
-  , public ::testing::WithParamInterface<Proof>
+class ClassificationTest
+  : public UpstreamClientTest
+  , public ::testing::WithParamInterface<ClassifiedResponse>
 {};
 
-constexpr const char* kOwn = "Signature: s\r\n";
-constexpr const char* kProved = "Signature: s\r\nNot-Run: 1\r\n";
+constexpr const char* kSigned = "Signature: s\r\n";
+constexpr const char* kSignedNotExecuted = "Signature: s\r\nNot-Run: 1\r\n";
 
-// Guards against a status that promises "not run" to a caller although nothing
-// proves it, and against a failure that an upstream made being replaced.
-TEST_P(ProofTest, OnlyProvedRefusalsAreRefusals)
+// Guards against a status that tells a caller without proof that its request
+// has not run, and against replacing a failure response that the upstream
+// signed.
+TEST_P(ClassificationTest, OnlyProofMeansNotExecuted)
 {
-  const Proof& proof = GetParam();
-  const auto got = Send({ AnswerTo("r-1", "x", proof.fields, proof.status) });
-  ASSERT_EQ(got.size(), 1U);
-  EXPECT_EQ(got[0].kind, proof.known) << proof.status << " " << proof.fields;
+  const ClassifiedResponse& sample = GetParam();
+  const auto attempts =
+    Send({ ResponseTo("r-1", "x", sample.fields, sample.status) });
+  ASSERT_EQ(attempts.size(), 1U);
+  EXPECT_EQ(attempts[0].kind, sample.expected)
+    << sample.status << " " << sample.fields;
 }
 
 INSTANTIATE_TEST_SUITE_P(
   Statuses,
-  ProofTest,
+  ClassificationTest,
   ::testing::Values(
-    Proof{ "408 Request Timeout", kOwn, Kind::OutcomeUnknown },
-    Proof{ "429 Too Many Requests", kOwn, Kind::OutcomeUnknown },
-    Proof{ "503 Service Unavailable", kOwn, Kind::OutcomeUnknown },
-    Proof{ "503 Service Unavailable", "", Kind::OutcomeUnknown },
-    Proof{ "408 Request Timeout", kProved, Kind::NotExecuted },
-    Proof{ "421 Misdirected Request", kOwn, Kind::NotExecuted },
-    Proof{ "429 Too Many Requests", kProved, Kind::NotExecuted },
-    Proof{ "503 Service Unavailable", kProved, Kind::NotExecuted },
-    Proof{ "500 Internal Server Error", kOwn, Kind::Response },
-    Proof{ "504 Gateway Timeout", kOwn, Kind::Response },
-    Proof{ "502 Bad Gateway", "", Kind::OutcomeUnknown },
-    Proof{ "200 OK", kProved, Kind::Response }));
-
-TEST_F(ExchangerTest, UnreachableUpstreamWasSentNothing)
+    ClassifiedResponse{ "408 Request Timeout", kSigned, Kind::OutcomeUnknown },
+    ClassifiedResponse{ "429 Too Many Requests",
+                        kSigned,
+                        Kind::OutcomeUnknown },
+    ClassifiedResponse{ "503 Service Unavailable",
+                        kSigned,
+                        Kind::OutcomeUnknown },
+    ClassifiedResponse{ "503 Service Unavailable", "", Kind::OutcomeUnknown },
+    ClassifiedResponse{ "408 Request Timeout",
+                        kSignedNotExecuted,
+                        Kind::NotExecuted },
+    ClassifiedResponse{ "421 Misdirected Request", kSigned, Kind::NotExecuted },
+    ClassifiedResponse{ "429 Too Many Requests",
+                        kSignedNotExecuted,
+                        Kind::NotExecuted },
+    ClassifiedResponse{ "503 Service Unavailable",
+                        kSignedNotExecuted,
+                        Kind::NotExecuted },
+    ClassifiedResponse{ "500 Internal Server Error", kSigned, Kind::Response },
+    ClassifiedResponse{ "504 Gateway Timeout", kSigned, Kind::Response },
+    ClassifiedResponse{ "502 Bad Gateway", "", Kind::OutcomeUnknown },
+    ClassifiedResponse{ "200 OK", kSignedNotExecuted, Kind::Response }));
+
+TEST_F(UpstreamClientTest, UnreachableUpstreamIsNotSent)
 {
   tcp::acceptor closed(context, { asio::ip::make_address("127.0.0.1"), 0 });
   const auto port = closed.local_endpoint().port();
@@ -301,7 +318,7 @@
   request->requestId = "r-1";
   asio::co_spawn(
     context,
-    exchanger.RoundTrip(
+    client.RoundTrip(
       UpstreamProcess{ "i-1", "127.0.0.1:" + std::to_string(port) },
       request,
       std::chrono::seconds{ 1 },
@@ -313,26 +330,26 @@
   EXPECT_EQ(result.kind, Kind::NotSent);
 }
 
-// The connection stands in the moment in which the time for it runs out, since
-// the host paused: the timer's handler is called although the timer was
-// cancelled. It must not close the connection in the middle of the request.
-TEST_F(ExchangerTest, LateTimerOfConnectingDoesNotEndTheRequest)
+// Guards against a request that its connect timer ends: the host pauses, and
+// the connection is established just as the timer expires. The timer's handler
+// runs although the timer is cancelled.
+TEST_F(UpstreamClientTest, LateConnectTimerDoesNotEndTheRequest)
 {
   upstream = std::make_unique<ScriptedUpstream>(
-    context, std::vector<std::string>{ AnswerTo("r-1", "a") });
+    context, std::vector<std::string>{ ResponseTo("r-1", "a") });
   asio::co_spawn(context, SendAll(1), asio::detached);
-  while (exchanger.ConnectionsOpened() == 0) {
+  while (client.ConnectionsOpened() == 0) {
     context.poll_one();
   }
-  std::this_thread::sleep_for(kLongerThanConnecting);
+  std::this_thread::sleep_for(kLongerThanConnectTimeout);
   context.run();
   EXPECT_EQ(results.at(0).kind, Kind::Response) << results.at(0).reason;
 }
 
-// An upstream starts again under its id, at the same address. A connection to
-// the process before looks open and is not used again: what is sent on it may
-// or may not run.
-TEST(ConnectionPoolTest, ConnectionsAreKeptForOneLife)
+// Guards against requests of unknown outcome: an upstream restarts with the
+// same id and address. A connection to the earlier process still looks open and
+// must not be reused.
+TEST(ConnectionPoolTest, ConnectionsAreReusedWithinOneIncarnation)
 {
   asio::io_context context;
   ConnectionPool pool;
