--- a/src/librattandyke/gateway/dialect.h
+++ b/src/librattandyke/gateway/dialect.h
@@ -55,7 +55,7 @@
   std::string instance;
   /// Key of a request to a service whose keys have owners.
   std::string key;
-  /// In an answer: the upstream's load, see Dialect::DecodeLoad.
+  /// In an answer: the upstream's load, see Dialect::DecodeLoadReport.
   std::string load;
 };
 
@@ -70,13 +70,13 @@
 
   /// @return what a call to a control host asks for. Code::UnknownRecord if
   /// there is no such call, Code::InvalidRecord if it can't be read in full.
-  virtual Result<ControlCall> Decode(std::string_view aMethod,
-                                     std::string_view aTarget,
-                                     std::string_view aBody) const = 0;
+  virtual Result<ControlCall> DecodeCall(std::string_view aMethod,
+                                         std::string_view aTarget,
+                                         std::string_view aBody) const = 0;
 
   /// @return what an upstream tells with HeaderNames::load, or nothing if it
   /// can't be read.
-  virtual std::optional<LoadReport> DecodeLoad(
+  virtual std::optional<LoadReport> DecodeLoadReport(
     std::string_view aText) const = 0;
 
   /// @return whether a call is a heartbeat, by its method and path alone.
--- a/src/librattandyke/gateway/entry_host_test.cpp
+++ b/src/librattandyke/gateway/entry_host_test.cpp
@@ -23,13 +23,13 @@
 {
 public:
   const HeaderNames& Headers() const override { return mNames; }
-  Result<ControlCall> Decode(std::string_view,
-                             std::string_view,
-                             std::string_view) const override
+  Result<ControlCall> DecodeCall(std::string_view,
+                                 std::string_view,
+                                 std::string_view) const override
   {
     return Fail(Code::UnknownRecord, "no calls here");
   }
-  std::optional<LoadReport> DecodeLoad(std::string_view) const override
+  std::optional<LoadReport> DecodeLoadReport(std::string_view) const override
   {
     return std::nullopt;
   }
--- a/src/librattandyke/gateway/request_handler.cpp
+++ b/src/librattandyke/gateway/request_handler.cpp
@@ -510,7 +510,7 @@
   if (text.empty()) {
     return;
   }
-  if (const auto load = mDialect.DecodeLoad(text)) {
+  if (const auto load = mDialect.DecodeLoadReport(text)) {
     mSlots.RecordLoadReport(aInstance, *load);
   } else {
     mMetrics.Increment("loads_not_read", "");
