--- a/src/librattandyke/gateway/control_host.cpp
+++ b/src/librattandyke/gateway/control_host.cpp
@@ -180,7 +180,7 @@
   if (stopping) {
     return;
   }
-  ticker.expires_after(Granter::kTick);
+  ticker.expires_after(RangeAssigner::kTick);
   ticker.async_wait([self = weak_from_this()](auto aError) {
     const auto host = self.lock();
     if (host && !aError) {
--- a/src/librattandyke/gateway/control_host_calls.cpp
+++ b/src/librattandyke/gateway/control_host_calls.cpp
@@ -249,7 +249,7 @@
     co_return Fail(Code::NoQuorum, "This host may no longer be the leader.");
   }
   HeartbeatAnswer answer;
-  answer.grants = rangeAssigner.Renew(aHeartbeat, state, arrivedAt);
+  answer.grants = rangeAssigner.RenewLease(aHeartbeat, state, arrivedAt);
   co_return answer;
 }
 
@@ -346,7 +346,7 @@
 {
   const Instant now = clock.Now();
   if (!HoldsLeaderLease() ||
-      !rangeAssigner.AwaitsKeys(aHeartbeat, state, now)) {
+      !rangeAssigner.ShouldDelayAnswer(aHeartbeat, state, now)) {
     co_return;
   }
   auto timer = std::make_shared<asio::steady_timer>(executor, kMaxRangeWait);
--- a/src/librattandyke/gateway/control_host_feed.cpp
+++ b/src/librattandyke/gateway/control_host_feed.cpp
@@ -167,10 +167,10 @@
     rangeAssigner.AddLoad(load);
   }
   for (const wire::InstanceTime& time : aReport.times()) {
-    rangeAssigner.NoteTime(time.instance(), time.seconds());
+    rangeAssigner.RecordLatency(time.instance(), time.seconds());
   }
   for (const wire::EntryMember& entry : aReport.entries()) {
-    entryRegistry.Seen(entry, clock.Now());
+    entryRegistry.RecordReport(entry, clock.Now());
   }
   if (aReport.has_sender()) {
     ProposeControlHost(aReport.sender());
--- a/src/librattandyke/gateway/control_host_log.cpp
+++ b/src/librattandyke/gateway/control_host_log.cpp
@@ -55,8 +55,8 @@
   if (aTerm) {
     Info() << "this host is the leader of term " << *aTerm << " at index "
            << state.Applied().value;
-    rangeAssigner.BecomeLeader(state, clock.Now());
-    entryRegistry.BecomeLeader(state, clock.Now());
+    rangeAssigner.OnElected(state, clock.Now());
+    entryRegistry.OnElected(state, clock.Now());
   } else {
     Info() << "this host is no longer the leader";
   }
--- a/src/librattandyke/gateway/state.cpp
+++ b/src/librattandyke/gateway/state.cpp
@@ -178,7 +178,7 @@
 Result<void>
 State::On(const wire::HoldBackRanges& aCommand)
 {
-  mRanges[aCommand.service()].HoldBack(aCommand);
+  mRanges[aCommand.service()].Revoke(aCommand);
   return {};
 }
 
