--- a/src/librattandyke/gateway/item_table.cpp
+++ b/src/librattandyke/gateway/item_table.cpp
@@ -116,8 +116,8 @@
   return !aKnown || aVersion > *aKnown;
 }
 
-/// Items of one kind that a change sets or drops, without changes that are
-/// superseded. Holds pointers into the change, which must outlive it.
+/// Items of one kind that a change sets or drops, without superseded versions.
+/// Refers to the current items and to the change; both must outlive it.
 template<typename Item>
 class ItemChanges
 {
--- a/src/librattandyke/gateway/item_table_test.cpp
+++ b/src/librattandyke/gateway/item_table_test.cpp
@@ -258,8 +258,9 @@
 
 // Failure: the indexes by which a change is checked go out of step with the
 // items, after earlier changes or after loading a saved state. Then a route
-// without a service is accepted, or a valid change is refused. A change must be
-// accepted if and only if all items are consistent after it.
+// without a service is accepted, or a valid change is refused. A change without
+// a version conflict must be accepted if and only if all items are consistent
+// after it.
 RC_GTEST_PROP(ItemTable, ChangeIsAcceptedIffTheResultIsConsistent, ())
 {
   ItemTable items;
--- a/src/librattandyke/gateway/settings.cpp
+++ b/src/librattandyke/gateway/settings.cpp
@@ -13,6 +13,7 @@
 
 namespace {
 
+/// Port of a seed until ParseSettings fills it in.
 constexpr uint16_t kNoPort = 0;
 constexpr uint64_t kMaxTolerated = 4;
 
@@ -22,7 +23,9 @@
   std::string_view section;
   std::string_view key;
   std::string_view defaultValue;
+  /// Description of the valid values, for messages and the settings page.
   std::string_view allowed;
+  /// Description of the setting, for the settings page.
   std::string_view meaning;
   /// Parses a value and stores it; returns whether the value is valid.
   std::function<bool(Settings&, const std::string&)> assign;
@@ -125,7 +128,8 @@
   return true;
 }
 
-/// Accepts an empty text, which keeps the default, or calls aParse.
+/// @return whether the text is empty, which keeps the default, or aParse
+/// accepts the value.
 template<typename Parse>
 bool
 EmptyOr(const std::string& aText, Parse aParse)
--- a/src/librattandyke/gateway/state.h
+++ b/src/librattandyke/gateway/state.h
@@ -27,12 +27,13 @@
   /// Applies a command, or refuses it without effect. The result is the same on
   /// every host.
   /// @param aIndex of the command in the replicated log.
-  /// @return the reason of a refusal.
+  /// @return the error of a refused command.
   Result<void> Apply(const wire::GatewayCommand& aCommand, LogIndex aIndex);
 
   /// @return the log index of the last applied command.
   LogIndex Applied() const { return mAppliedIndex; }
 
+  /// @return the configuration items.
   const ItemTable& Items() const { return mItems; }
 
   /// @return the registered upstream instances, by id.
@@ -58,6 +59,7 @@
     return mEvacuatedDataCentres.contains(aDataCentre);
   }
 
+  /// @return the names of the evacuated data centres.
   const std::set<std::string>& EvacuatedDataCentres() const
   {
     return mEvacuatedDataCentres;
