--- a/src/bench/fleet_bench.cpp
+++ b/src/bench/fleet_bench.cpp
@@ -4,13 +4,13 @@
 #include "allocation/allocation_counter.h"
 #include "bench/bench.h"
 #include "gateway/upstream_set.h"
-#include "testing/granter_leader.h"
+#include "testing/simulated_leader.h"
 
 namespace rattandyke::bench {
 namespace {
 
-using gateway::testing::From;
-using gateway::testing::Leader;
+using gateway::testing::HeartbeatFrom;
+using gateway::testing::SimulatedLeader;
 
 constexpr size_t kFew = 100;
 constexpr size_t kMany = 800;
@@ -34,7 +34,7 @@
 gateway::Heartbeat
 HeartbeatOf(size_t aNumber, uint64_t aSequence)
 {
-  gateway::Heartbeat heartbeat = From(NameOf(aNumber), aSequence);
+  gateway::Heartbeat heartbeat = HeartbeatFrom(NameOf(aNumber), aSequence);
   heartbeat.address = "10.0." + std::to_string(aNumber / 200) + "." +
                       std::to_string(aNumber % 200) + ":80";
   return heartbeat;
@@ -50,9 +50,9 @@
     for (int round = 0; round < kRounds; ++round) {
       ++sequence;
       for (size_t number = 0; number < upstreams; ++number) {
-        leader.Answer(HeartbeatOf(number, sequence));
+        leader.HandleHeartbeat(HeartbeatOf(number, sequence));
       }
-      leader.Pass(gateway::testing::kInterval);
+      leader.AdvanceTime(gateway::testing::kHeartbeatInterval);
     }
     ++sequence;
   }
@@ -60,7 +60,7 @@
   /// Heartbeats of all upstreams in turn.
   void Next()
   {
-    KeepAlive(leader.Answer(HeartbeatOf(next, sequence)));
+    KeepAlive(leader.HandleHeartbeat(HeartbeatOf(next, sequence)));
     if (++next == upstreams) {
       next = 0;
       ++sequence;
@@ -68,7 +68,7 @@
   }
 
   const size_t upstreams;
-  Leader leader;
+  SimulatedLeader leader;
   uint64_t sequence = 0;
   size_t next = 0;
 };
@@ -85,8 +85,8 @@
   aReporter.AtMost(
     "fleet_heartbeat_800", nanoseconds, "ns", kMostHeartbeatNanoseconds);
   const gateway::Heartbeat heartbeat = HeartbeatOf(many.next, many.sequence);
-  const auto count =
-    allocation::During([&] { KeepAlive(many.leader.Answer(heartbeat)); });
+  const auto count = allocation::During(
+    [&] { KeepAlive(many.leader.HandleHeartbeat(heartbeat)); });
   aReporter.AtMost("fleet_heartbeat_allocations",
                    static_cast<double>(count.allocations),
                    "count",
--- a/src/librattandyke/gateway/caller_connection.cpp
+++ b/src/librattandyke/gateway/caller_connection.cpp
@@ -212,7 +212,7 @@
 }
 
 void
-CallerConnection::LastCall()
+CallerConnection::ExpireRequests()
 {
   if (mWatched) {
     mWatched->OnHostShutdown();
--- a/src/librattandyke/gateway/caller_connection.h
+++ b/src/librattandyke/gateway/caller_connection.h
@@ -49,7 +49,7 @@
   void End();
 
   /// Ends also a request: its time is up, whether it is read or worked on.
-  void LastCall();
+  void ExpireRequests();
 
   /// @return whether it ends with the answer that comes next.
   bool IsEnding() const { return mEnding; }
--- a/src/librattandyke/gateway/cold_upstream_test.cpp
+++ b/src/librattandyke/gateway/cold_upstream_test.cpp
@@ -7,7 +7,7 @@
 #include <gtest/gtest.h>
 
 #include "gateway/slot_broker.h"
-#include "testing/granter_leader.h"
+#include "testing/simulated_leader.h"
 
 namespace rattandyke::gateway {
 namespace {
@@ -193,7 +193,7 @@
 // command for each upstream. A second spell is told again.
 TEST(ColdInLog, IsToldOnceForASpell)
 {
-  Leader leader;
+  SimulatedLeader leader;
   wire::GatewayCommand service;
   wire::ServiceItem* item = service.mutable_change_items()->add_services();
   item->set_name("board");
@@ -206,22 +206,23 @@
   size_t told = 0;
   Duration left = kWarmUp;
   for (uint64_t sequence = 1; sequence <= 9; ++sequence) {
-    Heartbeat heartbeat = From("a", sequence);
+    Heartbeat heartbeat = HeartbeatFrom("a", sequence);
     heartbeat.cold = left;
     const auto commands =
-      leader.granter->OnHeartbeat(heartbeat, leader.state, leader.now);
+      leader.rangeAssigner->OnHeartbeat(heartbeat, leader.state, leader.now);
     for (const wire::GatewayCommand& command : commands) {
       told += command.has_put_instance() ? 1 : 0;
     }
     leader.Commit(commands);
-    leader.Pass(kInterval / 2);
-    left = std::max<Duration>(left - kInterval / 2, Duration::zero());
+    leader.AdvanceTime(kHeartbeatInterval / 2);
+    left = std::max<Duration>(left - kHeartbeatInterval / 2, Duration::zero());
   }
   EXPECT_EQ(told, 1U);
   const uint64_t before = leader.state.FindInstance("a")->cold_index();
-  Heartbeat again = From("a", 10);
+  Heartbeat again = HeartbeatFrom("a", 10);
   again.cold = kWarmUp;
-  leader.Commit(leader.granter->OnHeartbeat(again, leader.state, leader.now));
+  leader.Commit(
+    leader.rangeAssigner->OnHeartbeat(again, leader.state, leader.now));
   EXPECT_EQ(leader.state.FindInstance("a")->cold_ms(), kWarmUp.count());
   EXPECT_GT(leader.state.FindInstance("a")->cold_index(), before);
 }
--- a/src/librattandyke/gateway/control_host.cpp
+++ b/src/librattandyke/gateway/control_host.cpp
@@ -45,7 +45,7 @@
   , clock(aClock)
   , seed(aSeed)
   , self{ ToString(aSettings.AdvertisedAddress()) }
-  , granter({ aSettings.hold, aSettings.heartbeatInterval, kForgetAfter })
+  , rangeAssigner({ aSettings.hold, aSettings.heartbeatInterval, kForgetAfter })
   , feed(state)
   , ticker(executor)
   , heartbeatTimer(executor)
@@ -178,7 +178,7 @@
   if (stopping) {
     return;
   }
-  ticker.expires_after(Granter::kTick);
+  ticker.expires_after(RangeAssigner::kTick);
   ticker.async_wait([self = weak_from_this()](auto aError) {
     const auto host = self.lock();
     if (host && !aError) {
@@ -192,7 +192,7 @@
 ControlHost::Impl::OnTick()
 {
   if (LeadsSurely()) {
-    ProposeAll(granter.Tick(state, clock.Now()));
+    ProposeAll(rangeAssigner.Tick(state, clock.Now()));
     ProposeAll(entries.Tick(state, clock.Now()));
     DropControls();
   }
--- a/src/librattandyke/gateway/control_host_calls.cpp
+++ b/src/librattandyke/gateway/control_host_calls.cpp
@@ -202,13 +202,13 @@
 ControlHost::Impl::Decide(const Heartbeat& aHeartbeat)
 {
   const Instant arrived = clock.Now();
-  if (Result<void> checked = granter.Check(aHeartbeat, state); !checked) {
+  if (Result<void> checked = rangeAssigner.Check(aHeartbeat, state); !checked) {
     static_cast<void>(
       NotTaken("heartbeat", aHeartbeat.instance, checked.error()));
     co_return tl::unexpected(checked.error());
   }
   std::vector<wire::GatewayCommand> due =
-    granter.OnHeartbeat(aHeartbeat, state, arrived);
+    rangeAssigner.OnHeartbeat(aHeartbeat, state, arrived);
   for (const wire::GatewayCommand& command : due) {
     Info() << "heartbeat " << aHeartbeat.sequence << " of "
            << aHeartbeat.instance << ": " << command.ShortDebugString();
@@ -216,7 +216,7 @@
   Result<void> committed = co_await Commit(std::move(due));
   co_await AwaitKeys(aHeartbeat);
   for (int attempt = 0; committed && attempt < kGrantAttempts; ++attempt) {
-    const auto grant = granter.PlanGrant(aHeartbeat, state, clock.Now());
+    const auto grant = rangeAssigner.PlanGrant(aHeartbeat, state, clock.Now());
     if (!grant) {
       break;
     }
@@ -239,14 +239,14 @@
     co_return Fail(Code::NoQuorum, "This host may not lead any more.");
   }
   HeartbeatAnswer answer;
-  answer.grants = granter.Renew(aHeartbeat, state, arrived);
+  answer.grants = rangeAssigner.RenewLease(aHeartbeat, state, arrived);
   co_return answer;
 }
 
 asio::awaitable<HttpResponse>
 ControlHost::Impl::OnCall(const Deregistration& aLeaving)
 {
-  const auto command = granter.OnDeregistration(aLeaving, state);
+  const auto command = rangeAssigner.OnDeregistration(aLeaving, state);
   if (!command) {
     co_return NotTaken("deregistration", aLeaving.instance, command.error());
   }
@@ -329,7 +329,8 @@
 ControlHost::Impl::AwaitKeys(const Heartbeat& aHeartbeat)
 {
   const Instant now = clock.Now();
-  if (!LeadsSurely() || !granter.AwaitsKeys(aHeartbeat, state, now)) {
+  if (!LeadsSurely() ||
+      !rangeAssigner.ShouldDelayAnswer(aHeartbeat, state, now)) {
     co_return;
   }
   auto freed = std::make_shared<asio::steady_timer>(executor, kKeysAwaited);
--- a/src/librattandyke/gateway/control_host_feed.cpp
+++ b/src/librattandyke/gateway/control_host_feed.cpp
@@ -159,13 +159,13 @@
     return;
   }
   for (const wire::RangeLoad& load : aReport.loads()) {
-    granter.AddLoad(load);
+    rangeAssigner.AddLoad(load);
   }
   for (const wire::InstanceTime& time : aReport.times()) {
-    granter.NoteTime(time.instance(), time.seconds());
+    rangeAssigner.RecordLatency(time.instance(), time.seconds());
   }
   for (const wire::EntryMember& entry : aReport.entries()) {
-    entries.Seen(entry, clock.Now());
+    entries.RecordReport(entry, clock.Now());
   }
   if (aReport.has_sender()) {
     NoteControl(aReport.sender());
--- a/src/librattandyke/gateway/control_host_heartbeats.cpp
+++ b/src/librattandyke/gateway/control_host_heartbeats.cpp
@@ -96,15 +96,15 @@
 void
 ControlHost::Impl::TakeHeartbeats()
 {
-  HeartbeatQueue::Slice slice = heartbeatQueue.Take(clock.Now());
-  for (HeartbeatQueue::Waiting& waiting : slice.decide) {
+  HeartbeatQueue::Batch slice = heartbeatQueue.TakeBatch(clock.Now());
+  for (HeartbeatQueue::Pending& waiting : slice.toProcess) {
     asio::co_spawn(executor,
                    DecideForwarded(shared_from_this(),
                                    std::move(waiting.replyTo),
                                    std::move(waiting.heartbeat)),
                    asio::detached);
   }
-  for (const HeartbeatQueue::Waiting& waiting : slice.refuse) {
+  for (const HeartbeatQueue::Pending& waiting : slice.toReject) {
     QueueAnswer(waiting.replyTo, waiting.heartbeat.id(), Behind());
   }
   if (!heartbeatQueue.IsEmpty()) {
--- a/src/librattandyke/gateway/control_host_impl.h
+++ b/src/librattandyke/gateway/control_host_impl.h
@@ -19,11 +19,11 @@
 #include "gateway/control_host.h"
 #include "gateway/entry_registry.h"
 #include "gateway/feed_server.h"
-#include "gateway/granter.h"
 #include "gateway/heartbeat_queue.h"
 #include "gateway/heartbeat_wire.h"
 #include "gateway/http_server.h"
 #include "gateway/metrics.h"
+#include "gateway/range_assigner.h"
 #include "log/log.h"
 #include "net/frame_mesh.h"
 
@@ -169,7 +169,7 @@
   const uint64_t seed;
   const HostName self;
   State state;
-  Granter granter;
+  RangeAssigner rangeAssigner;
   FeedServer feed;
   boost::asio::steady_timer ticker;
   std::unique_ptr<net::FrameMesh> mesh;
--- a/src/librattandyke/gateway/control_host_log.cpp
+++ b/src/librattandyke/gateway/control_host_log.cpp
@@ -51,8 +51,8 @@
 {
   if (aTerm) {
     Info() << "leads term " << *aTerm << " at index " << state.Applied().value;
-    granter.BecomeLeader(state, clock.Now());
-    entries.BecomeLeader(state, clock.Now());
+    rangeAssigner.OnElected(state, clock.Now());
+    entries.OnElected(state, clock.Now());
   } else {
     Info() << "leads no more";
   }
--- a/src/librattandyke/gateway/entry_registry.cpp
+++ b/src/librattandyke/gateway/entry_registry.cpp
@@ -13,7 +13,7 @@
 } // namespace
 
 void
-EntryRegistry::BecomeLeader(const State& aState, Instant aNow)
+EntryRegistry::OnElected(const State& aState, Instant aNow)
 {
   mEntries.clear();
   mProposed.clear();
@@ -23,7 +23,7 @@
 }
 
 void
-EntryRegistry::Seen(const wire::EntryMember& aEntry, Instant aNow)
+EntryRegistry::RecordReport(const wire::EntryMember& aEntry, Instant aNow)
 {
   mEntries[aEntry.address()] = { aEntry, aNow };
 }
--- a/src/librattandyke/gateway/entry_registry.h
+++ b/src/librattandyke/gateway/entry_registry.h
@@ -24,10 +24,10 @@
 {
 public:
   /// This host leads from now on: it has heard of nobody yet.
-  void BecomeLeader(const State& aState, Instant aNow);
+  void OnElected(const State& aState, Instant aNow);
 
   /// An entry host subscribes somewhere.
-  void Seen(const wire::EntryMember& aEntry, Instant aNow);
+  void RecordReport(const wire::EntryMember& aEntry, Instant aNow);
 
   /// @return commands that make the list what has been seen.
   std::vector<wire::GatewayCommand> Tick(const State& aState, Instant aNow);
--- a/src/librattandyke/gateway/entry_registry_test.cpp
+++ b/src/librattandyke/gateway/entry_registry_test.cpp
@@ -25,11 +25,11 @@
   State state;
   EntryRegistry registry;
   Instant now{ std::chrono::hours{ 1 } };
-  registry.BecomeLeader(state, now);
+  registry.OnElected(state, now);
   size_t proposed = 0;
   for (int tick = 0; tick < 9; ++tick) {
     for (size_t at = 0; at < kEntries; ++at) {
-      registry.Seen(Member(at), now);
+      registry.RecordReport(Member(at), now);
     }
     proposed += registry.Tick(state, now).size();
     now += kTick;
@@ -37,7 +37,7 @@
   EXPECT_EQ(proposed, kEntries);
   // They were lost: all are proposed once more.
   for (size_t at = 0; at < kEntries; ++at) {
-    registry.Seen(Member(at), now);
+    registry.RecordReport(Member(at), now);
   }
   EXPECT_EQ(registry.Tick(state, now + kTick).size(), kEntries);
 }
@@ -54,8 +54,8 @@
     }
     now += kTick;
   };
-  registry.BecomeLeader(state, now);
-  registry.Seen(Member(1), now);
+  registry.OnElected(state, now);
+  registry.RecordReport(Member(1), now);
   tick();
   EXPECT_EQ(state.Entries().size(), 1U);
   for (int ticks = 0; ticks < 30; ++ticks) {
@@ -63,7 +63,7 @@
   }
   EXPECT_TRUE(state.Entries().empty());
   for (int ticks = 0; ticks < 12; ++ticks) {
-    registry.Seen(Member(1), now);
+    registry.RecordReport(Member(1), now);
     tick();
   }
   EXPECT_EQ(state.Entries().size(), 1U);
--- a/src/librattandyke/gateway/evacuation_test.cpp
+++ b/src/librattandyke/gateway/evacuation_test.cpp
@@ -8,7 +8,7 @@
 
 #include "gateway/key_spans.h"
 #include "gateway/slot_broker.h"
-#include "testing/granter_leader.h"
+#include "testing/simulated_leader.h"
 
 namespace rattandyke::gateway {
 namespace {
@@ -174,14 +174,14 @@
   void Beat(uint64_t aSequence)
   {
     for (const char* id : { "a", "b", "c" }) {
-      Heartbeat heartbeat = From(id, aSequence);
+      Heartbeat heartbeat = HeartbeatFrom(id, aSequence);
       heartbeat.dataCentre = id == std::string("a") ? "west" : "east";
       const auto held = mHeld[id];
       for (const KeySpan& keys : mReleased[id]) {
         heartbeat.released.push_back({ keys, "handover" });
       }
       mReleased[id].clear();
-      const auto grants = leader.Answer(heartbeat);
+      const auto grants = leader.HandleHeartbeat(heartbeat);
       if (grants) {
         std::vector<KeySpan> now;
         for (const GrantedRange& range : grants->ranges) {
@@ -190,7 +190,7 @@
         for (const KeySpan& keys : held) {
           const bool kept =
             std::any_of(now.begin(), now.end(), [&](KeySpan aKeys) {
-              return Overlap(aKeys, keys).has_value();
+              return Intersect(aKeys, keys).has_value();
             });
           if (!kept) {
             mReleased[id].push_back(keys);
@@ -198,7 +198,7 @@
         }
         mHeld[id] = now;
       }
-      leader.Pass(kInterval / 3);
+      leader.AdvanceTime(kHeartbeatInterval / 3);
     }
   }
 
@@ -211,7 +211,7 @@
     return keys;
   }
 
-  Leader leader;
+  SimulatedLeader leader;
   std::map<std::string, std::vector<KeySpan>> mHeld;
   std::map<std::string, std::vector<KeySpan>> mReleased;
 };
@@ -234,7 +234,7 @@
 TEST_F(EvacuatedKeys, NextLeaderGoesOnWithTheOrder)
 {
   leader.Commit({ Order("west", false) });
-  leader.Replace();
+  leader.FailOver();
   for (uint64_t sequence = 9; sequence <= 13; ++sequence) {
     Beat(sequence);
   }
--- a/src/librattandyke/gateway/heartbeat.h
+++ b/src/librattandyke/gateway/heartbeat.h
@@ -65,7 +65,7 @@
 {
   std::vector<GrantedRange> ranges;
   /// Counted by the instance from when it sent the heartbeat.
-  Duration holdTime{};
+  Duration leaseDuration{};
 };
 
 struct HeartbeatAnswer
--- a/src/librattandyke/gateway/heartbeat_queue.cpp
+++ b/src/librattandyke/gateway/heartbeat_queue.cpp
@@ -5,24 +5,24 @@
 namespace rattandyke::gateway {
 
 bool
-HeartbeatQueue::Add(Waiting aWaiting)
+HeartbeatQueue::Add(Pending aWaiting)
 {
-  if (mWaiting.size() >= kMostWaiting) {
+  if (mWaiting.size() >= kCapacity) {
     return false;
   }
   mWaiting.push_back(std::move(aWaiting));
   return true;
 }
 
-HeartbeatQueue::Slice
-HeartbeatQueue::Take(Instant aNow)
+HeartbeatQueue::Batch
+HeartbeatQueue::TakeBatch(Instant aNow)
 {
-  Slice slice;
+  Batch slice;
   while (!mWaiting.empty() &&
-         slice.decide.size() + slice.refuse.size() < kSlice) {
-    Waiting& first = mWaiting.front();
+         slice.toProcess.size() + slice.toReject.size() < kBatchSize) {
+    Pending& first = mWaiting.front();
     auto& to =
-      aNow - first.arrived < kLongestWait ? slice.decide : slice.refuse;
+      aNow - first.arrived < kMaxWait ? slice.toProcess : slice.toReject;
     to.push_back(std::move(first));
     mWaiting.pop_front();
   }
--- a/src/librattandyke/gateway/heartbeat_queue.h
+++ b/src/librattandyke/gateway/heartbeat_queue.h
@@ -23,7 +23,7 @@
 class HeartbeatQueue
 {
 public:
-  struct Waiting
+  struct Pending
   {
     HostName replyTo;
     wire::ForwardedHeartbeat heartbeat;
@@ -31,30 +31,30 @@
   };
 
   /// What is to be done before anything else gets a turn.
-  struct Slice
+  struct Batch
   {
-    std::vector<Waiting> decide;
+    std::vector<Pending> toProcess;
     /// Their senders wait no more.
-    std::vector<Waiting> refuse;
+    std::vector<Pending> toReject;
   };
 
   /// Heartbeats that are decided in one turn.
-  static constexpr size_t kSlice = 32;
-  /// Heartbeats that may wait: more than are decided within kLongestWait.
-  static constexpr size_t kMostWaiting = 32768;
+  static constexpr size_t kBatchSize = 32;
+  /// Heartbeats that may wait: more than are decided within kMaxWait.
+  static constexpr size_t kCapacity = 32768;
   /// Senders go elsewhere after a second. What is decided so late that its
   /// answer comes too late is decided in vain, and its sender calls again.
-  static constexpr Duration kLongestWait = std::chrono::milliseconds{ 300 };
+  static constexpr Duration kMaxWait = std::chrono::milliseconds{ 300 };
 
   /// @return whether it is kept; if not, it is to be refused.
-  bool Add(Waiting aWaiting);
+  bool Add(Pending aWaiting);
 
-  Slice Take(Instant aNow);
+  Batch TakeBatch(Instant aNow);
 
   bool IsEmpty() const { return mWaiting.empty(); }
 
 private:
-  std::deque<Waiting> mWaiting;
+  std::deque<Pending> mWaiting;
 };
 
 } // namespace rattandyke::gateway
--- a/src/librattandyke/gateway/heartbeat_queue_test.cpp
+++ b/src/librattandyke/gateway/heartbeat_queue_test.cpp
@@ -5,10 +5,10 @@
 namespace rattandyke::gateway {
 namespace {
 
-HeartbeatQueue::Waiting
+HeartbeatQueue::Pending
 Numbered(uint64_t aId, Instant aArrived)
 {
-  HeartbeatQueue::Waiting waiting;
+  HeartbeatQueue::Pending waiting;
   waiting.heartbeat.set_id(aId);
   waiting.arrived = aArrived;
   return waiting;
@@ -25,10 +25,10 @@
   }
   uint64_t next = 1;
   while (!queue.IsEmpty()) {
-    const auto slice = queue.Take(now);
-    EXPECT_LE(slice.decide.size(), HeartbeatQueue::kSlice);
-    EXPECT_TRUE(slice.refuse.empty());
-    for (const auto& waiting : slice.decide) {
+    const auto slice = queue.TakeBatch(now);
+    EXPECT_LE(slice.toProcess.size(), HeartbeatQueue::kBatchSize);
+    EXPECT_TRUE(slice.toReject.empty());
+    for (const auto& waiting : slice.toProcess) {
       EXPECT_EQ(waiting.heartbeat.id(), next++);
     }
   }
@@ -42,19 +42,19 @@
   const Instant now{ std::chrono::hours{ 1 } };
   HeartbeatQueue queue;
   queue.Add(Numbered(1, now));
-  queue.Add(Numbered(2, now + HeartbeatQueue::kLongestWait / 2));
-  const auto slice = queue.Take(now + HeartbeatQueue::kLongestWait);
-  ASSERT_EQ(slice.refuse.size(), 1U);
-  EXPECT_EQ(slice.refuse.front().heartbeat.id(), 1U);
-  ASSERT_EQ(slice.decide.size(), 1U);
-  EXPECT_EQ(slice.decide.front().heartbeat.id(), 2U);
+  queue.Add(Numbered(2, now + HeartbeatQueue::kMaxWait / 2));
+  const auto slice = queue.TakeBatch(now + HeartbeatQueue::kMaxWait);
+  ASSERT_EQ(slice.toReject.size(), 1U);
+  EXPECT_EQ(slice.toReject.front().heartbeat.id(), 1U);
+  ASSERT_EQ(slice.toProcess.size(), 1U);
+  EXPECT_EQ(slice.toProcess.front().heartbeat.id(), 2U);
 }
 
 // Guards against memory that grows with what misbehaving upstreams send.
 TEST(HeartbeatQueue, IsBounded)
 {
   HeartbeatQueue queue;
-  for (size_t at = 0; at < HeartbeatQueue::kMostWaiting; ++at) {
+  for (size_t at = 0; at < HeartbeatQueue::kCapacity; ++at) {
     ASSERT_TRUE(queue.Add(Numbered(at, {})));
   }
   EXPECT_FALSE(queue.Add(Numbered(0, {})));
--- a/src/librattandyke/gateway/heartbeat_wire.cpp
+++ b/src/librattandyke/gateway/heartbeat_wire.cpp
@@ -84,7 +84,7 @@
   if (aAnswer->grants) {
     answer.set_renews(true);
     answer.set_hold_ms(static_cast<uint32_t>(
-      duration_cast<milliseconds>(aAnswer->grants->holdTime).count()));
+      duration_cast<milliseconds>(aAnswer->grants->leaseDuration).count()));
     for (const GrantedRange& granted : aAnswer->grants->ranges) {
       wire::FencedRange* range = answer.add_ranges();
       range->set_from(granted.keys.from);
@@ -105,7 +105,7 @@
   HeartbeatAnswer answer;
   if (aAnswer.renews()) {
     Grants& grants = answer.grants.emplace();
-    grants.holdTime = milliseconds{ aAnswer.hold_ms() };
+    grants.leaseDuration = milliseconds{ aAnswer.hold_ms() };
     for (const wire::FencedRange& range : aAnswer.ranges()) {
       grants.ranges.push_back({ SpanFrom(range.from(), range.to()),
                                 Fence{ range.fence() },
--- a/src/librattandyke/gateway/heartbeat_wire_test.cpp
+++ b/src/librattandyke/gateway/heartbeat_wire_test.cpp
@@ -56,7 +56,7 @@
   ASSERT_TRUE(got);
   ASSERT_TRUE(got->grants);
   EXPECT_TRUE(got->grants->ranges.empty());
-  EXPECT_EQ(got->grants->holdTime, milliseconds{ 4500 });
+  EXPECT_EQ(got->grants->leaseDuration, milliseconds{ 4500 });
 }
 
 TEST(HeartbeatWire, GrantsAndFailuresArriveWhole)
--- a/src/librattandyke/gateway/key_spans.cpp
+++ b/src/librattandyke/gateway/key_spans.cpp
@@ -5,7 +5,7 @@
 namespace rattandyke::gateway {
 
 std::optional<KeySpan>
-Overlap(KeySpan aOne, KeySpan aOther)
+Intersect(KeySpan aOne, KeySpan aOther)
 {
   const KeySpan common{ std::max(aOne.from, aOther.from),
                         std::min(aOne.to, aOther.to) };
@@ -25,10 +25,10 @@
 
 /// @return what is left of a span without another.
 std::vector<KeySpan>
-Without(KeySpan aSpan, KeySpan aTaken)
+Subtract(KeySpan aSpan, KeySpan aTaken)
 {
   std::vector<KeySpan> rest;
-  const auto common = Overlap(aSpan, aTaken);
+  const auto common = Intersect(aSpan, aTaken);
   if (!common) {
     return { aSpan };
   }
@@ -44,13 +44,13 @@
 } // namespace
 
 std::vector<KeySpan>
-Without(KeySpan aSpan, const std::vector<KeySpan>& aTaken)
+Subtract(KeySpan aSpan, const std::vector<KeySpan>& aTaken)
 {
   std::vector<KeySpan> rest{ aSpan };
   for (const KeySpan& taken : aTaken) {
     std::vector<KeySpan> next;
     for (const KeySpan& part : rest) {
-      const auto parts = Without(part, taken);
+      const auto parts = Subtract(part, taken);
       next.insert(next.end(), parts.begin(), parts.end());
     }
     rest = std::move(next);
--- a/src/librattandyke/gateway/key_spans.h
+++ b/src/librattandyke/gateway/key_spans.h
@@ -9,11 +9,12 @@
 namespace rattandyke::gateway {
 
 /// @return the keys that both have.
-std::optional<KeySpan> Overlap(KeySpan aOne, KeySpan aOther);
+std::optional<KeySpan> Intersect(KeySpan aOne, KeySpan aOther);
 
 KeySpan SpanOf(const wire::RangeSegment& aSegment);
 
 /// @return what is left of a span without others.
-std::vector<KeySpan> Without(KeySpan aSpan, const std::vector<KeySpan>& aTaken);
+std::vector<KeySpan> Subtract(KeySpan aSpan,
+                              const std::vector<KeySpan>& aTaken);
 
 } // namespace rattandyke::gateway
--- a/src/librattandyke/gateway/holder_index.cpp
+++ b/src/librattandyke/gateway/owner_index.cpp
@@ -1,4 +1,4 @@
-#include "gateway/holder_index.h"
+#include "gateway/owner_index.h"
 
 #include <algorithm>
 
--- a/src/librattandyke/gateway/holder_index_test.cpp
+++ b/src/librattandyke/gateway/owner_index_test.cpp
@@ -1,4 +1,4 @@
-#include "gateway/holder_index.h"
+#include "gateway/owner_index.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -56,7 +56,7 @@
         aRanges.Grant(OfKeys<wire::GrantRanges>(holder, { from, to }), aFence));
       return;
     case 1:
-      aRanges.HoldBack(OfKeys<wire::HoldBackRanges>(holder, { from, to }));
+      aRanges.Revoke(OfKeys<wire::HoldBackRanges>(holder, { from, to }));
       return;
     case 2:
       aRanges.Free(OfKeys<wire::FreeRanges>(holder, { from, to }));
--- a/src/librattandyke/gateway/granter.cpp
+++ b/src/librattandyke/gateway/range_assigner.cpp
@@ -1,4 +1,4 @@
-#include "gateway/granter.h"
+#include "gateway/range_assigner.h"
 
 #include <algorithm>
 
@@ -26,13 +26,13 @@
 
 } // namespace
 
-Granter::Granter(Options aOptions)
+RangeAssigner::RangeAssigner(Options aOptions)
   : mOptions(aOptions)
 {
 }
 
 bool
-Granter::OwnsKeys(const State& aState, const std::string& aService)
+RangeAssigner::OwnsKeys(const State& aState, const std::string& aService)
 {
   const auto& services = aState.Items().Services();
   const auto found = services.find(aService);
@@ -40,7 +40,7 @@
 }
 
 void
-Granter::BecomeLeader(const State& aState, Instant aNow)
+RangeAssigner::OnElected(const State& aState, Instant aNow)
 {
   mLeases.clear();
   mWatched.clear();
@@ -48,7 +48,7 @@
   mGroups.clear();
   mLivesTold = false;
   const Instant longest =
-    aNow + Scaled(mOptions.holdTime, kDrift) + kTimerSlack;
+    aNow + Scaled(mOptions.leaseDuration, kDrift) + kTimerSlack;
   for (const auto& [service, ranges] : aState.AllRanges()) {
     for (const wire::RangeSegment& segment : ranges.Segments()) {
       if (!segment.holder().empty()) {
@@ -72,7 +72,7 @@
 }
 
 const HolderIndex&
-Granter::IndexOf(const std::string& aService, const RangeTable& aRanges)
+RangeAssigner::IndexOf(const std::string& aService, const RangeTable& aRanges)
 {
   HolderIndex& index = mGroups[aService].index;
   const uint64_t before = index.SegmentsRead();
@@ -82,9 +82,9 @@
 }
 
 Result<void>
-Granter::CheckLife(const std::string& aInstance,
-                   uint64_t aLife,
-                   const State& aState) const
+RangeAssigner::CheckLife(const std::string& aInstance,
+                         uint64_t aLife,
+                         const State& aState) const
 {
   const auto lease = mLeases.find(aInstance);
   const wire::UpstreamInstance* known = aState.FindInstance(aInstance);
@@ -108,7 +108,7 @@
 /// what names a service that no item names, or does not tell its life where
 /// others do, changes nothing.
 Result<void>
-Granter::Check(const Heartbeat& aHeartbeat, const State& aState) const
+RangeAssigner::Check(const Heartbeat& aHeartbeat, const State& aState) const
 {
   if (!ParseEndpoint(aHeartbeat.address)) {
     return Fail(Code::InvalidRecord, "The heartbeat's address is none.");
@@ -129,8 +129,8 @@
 }
 
 Result<wire::GatewayCommand>
-Granter::OnDeregistration(const Deregistration& aLeaving,
-                          const State& aState) const
+RangeAssigner::OnDeregistration(const Deregistration& aLeaving,
+                                const State& aState) const
 {
   wire::GatewayCommand command;
   const wire::UpstreamInstance* known = aState.FindInstance(aLeaving.instance);
@@ -152,7 +152,7 @@
 }
 
 bool
-Granter::IsNewest(const Heartbeat& aHeartbeat) const
+RangeAssigner::IsNewest(const Heartbeat& aHeartbeat) const
 {
   const auto lease = mLeases.find(aHeartbeat.instance);
   return lease != mLeases.end() && lease->second.life == aHeartbeat.life &&
@@ -160,9 +160,9 @@
 }
 
 std::vector<wire::GatewayCommand>
-Granter::OnHeartbeat(const Heartbeat& aHeartbeat,
-                     const State& aState,
-                     Instant aArrived)
+RangeAssigner::OnHeartbeat(const Heartbeat& aHeartbeat,
+                           const State& aState,
+                           Instant aArrived)
 {
   std::vector<wire::GatewayCommand> commands;
   if (aState.HasEnded(aHeartbeat.instance, aHeartbeat.life)) {
@@ -226,7 +226,7 @@
 /// the sums by which it would give keys away. But when a fleet comes back, or
 /// registers, sums for each would keep the leader busy until it is deposed.
 void
-Granter::NoteUncounted(Group& aGroup, bool aComesBack)
+RangeAssigner::NoteUncounted(Group& aGroup, bool aComesBack)
 {
   if (aComesBack && aGroup.sumsAgain < kSumsAgain) {
     ++aGroup.sumsAgain;
@@ -238,9 +238,9 @@
 /// Only where a service bounds what a cold upstream may get: elsewhere nobody
 /// needs to know.
 bool
-Granter::NoteCold(const Heartbeat& aHeartbeat,
-                  const State& aState,
-                  Instant aNow)
+RangeAssigner::NoteCold(const Heartbeat& aHeartbeat,
+                        const State& aState,
+                        Instant aNow)
 {
   const auto& services = aState.Items().Services();
   const auto service = services.find(aHeartbeat.service);
@@ -269,9 +269,9 @@
 }
 
 bool
-Granter::IsActive(const wire::UpstreamInstance& aInstance,
-                  const State& aState,
-                  Instant aNow) const
+RangeAssigner::IsActive(const wire::UpstreamInstance& aInstance,
+                        const State& aState,
+                        Instant aNow) const
 {
   const auto lease = mLeases.find(aInstance.id());
   return lease != mLeases.end() &&
@@ -279,10 +279,10 @@
 }
 
 bool
-Granter::IsActive(const wire::UpstreamInstance& aInstance,
-                  const Lease& aLease,
-                  const State& aState,
-                  Instant aNow) const
+RangeAssigner::IsActive(const wire::UpstreamInstance& aInstance,
+                        const Lease& aLease,
+                        const State& aState,
+                        Instant aNow) const
 {
   if (aInstance.draining() || aState.IsEvacuated(aInstance.data_centre()) ||
       aLease.expiring || !aLease.lastHeartbeat) {
@@ -292,9 +292,9 @@
 }
 
 std::optional<Grants>
-Granter::Renew(const Heartbeat& aHeartbeat,
-               const State& aState,
-               Instant aArrived)
+RangeAssigner::RenewLease(const Heartbeat& aHeartbeat,
+                          const State& aState,
+                          Instant aArrived)
 {
   const std::string& id = aHeartbeat.instance;
   const auto found = mLeases.find(id);
@@ -309,7 +309,7 @@
     return std::nullopt;
   }
   Grants grants;
-  grants.holdTime = mOptions.holdTime;
+  grants.leaseDuration = mOptions.leaseDuration;
   const RangeTable* ranges = aState.Ranges(instance->service());
   if (ranges != nullptr && !instance->draining()) {
     for (const uint32_t key :
@@ -323,8 +323,9 @@
   }
   // Counted from the arrival: the instance counts from the sending, so its hold
   // ends no later than this.
-  lease.ends = std::max(
-    lease.ends, aArrived + Scaled(mOptions.holdTime, kDrift) + kTimerSlack);
+  lease.ends =
+    std::max(lease.ends,
+             aArrived + Scaled(mOptions.leaseDuration, kDrift) + kTimerSlack);
   if (!lease.watchedAt) {
     Watch(id, lease, lease.ends);
   }
@@ -332,7 +333,7 @@
 }
 
 std::vector<wire::GatewayCommand>
-Granter::Tick(const State& aState, Instant aNow)
+RangeAssigner::Tick(const State& aState, Instant aNow)
 {
   std::vector<wire::GatewayCommand> commands;
   FreeExpired(aState, aNow, commands);
--- a/src/librattandyke/gateway/granter.h
+++ b/src/librattandyke/gateway/range_assigner.h
@@ -14,8 +14,8 @@
 
 #include "gateway/dialect.h"
 #include "gateway/heartbeat.h"
-#include "gateway/holder_index.h"
 #include "gateway/key_load_map.h"
+#include "gateway/owner_index.h"
 #include "gateway/state.h"
 #include "wire/gateway.pb.h"
 
@@ -31,13 +31,13 @@
 /// in the instant before it was elected, for the longest time there is, and
 /// frees nothing of a silent one earlier. So two instances never hold a key at
 /// the same time, whoever leads.
-class Granter
+class RangeAssigner
 {
 public:
   struct Options
   {
     /// Time for which an answer renews what an instance holds.
-    Duration holdTime{};
+    Duration leaseDuration{};
     /// How often instances send heartbeats.
     Duration heartbeatInterval{};
     /// Time after the last heartbeat at which an instance that holds no keys is
@@ -45,10 +45,10 @@
     Duration forgetAfter{};
   };
 
-  explicit Granter(Options aOptions);
+  explicit RangeAssigner(Options aOptions);
 
   /// This host leads from now on.
-  void BecomeLeader(const State& aState, Instant aNow);
+  void OnElected(const State& aState, Instant aNow);
 
   /// @return whether a heartbeat is one of an upstream of this deployment:
   /// Code::InvalidRecord if it can't be, Code::UpstreamSuperseded if a later
@@ -75,17 +75,17 @@
 
   /// @return whether keys are being released that the instance may get: its
   /// answer should wait for them a moment, as its next heartbeat is far.
-  bool AwaitsKeys(const Heartbeat& aHeartbeat,
-                  const State& aState,
-                  Instant aNow);
+  bool ShouldDelayAnswer(const Heartbeat& aHeartbeat,
+                         const State& aState,
+                         Instant aNow);
 
   /// Renews what an instance holds.
   /// @param aArrived when the heartbeat arrived here: later than it was sent,
   /// from when the instance counts.
   /// @return what it is to hold; none if the answer must renew nothing.
-  std::optional<Grants> Renew(const Heartbeat& aHeartbeat,
-                              const State& aState,
-                              Instant aArrived);
+  std::optional<Grants> RenewLease(const Heartbeat& aHeartbeat,
+                                   const State& aState,
+                                   Instant aArrived);
 
   /// @return commands that time has made due. Call it every kTick.
   std::vector<wire::GatewayCommand> Tick(const State& aState, Instant aNow);
@@ -94,7 +94,7 @@
   void AddLoad(const wire::RangeLoad& aLoad);
 
   /// Notes how long an instance's answers take at the moment, in seconds.
-  void NoteTime(const std::string& aInstance, double aSeconds);
+  void RecordLatency(const std::string& aInstance, double aSeconds);
 
   static constexpr Duration kTick = std::chrono::milliseconds{ 100 };
 
--- a/src/librattandyke/gateway/granter_fleet_test.cpp
+++ b/src/librattandyke/gateway/range_assigner_fleet_test.cpp
@@ -1,6 +1,6 @@
 // Loads of a service with some hundred owners of keys, on the leader's own
 // decisions and a simulated clock.
-#include "gateway/granter.h"
+#include "gateway/range_assigner.h"
 
 #include <algorithm>
 #include <random>
@@ -11,7 +11,7 @@
 #include <gtest/gtest.h>
 
 #include "gateway/key_spans.h"
-#include "testing/granter_leader.h"
+#include "testing/simulated_leader.h"
 
 namespace rattandyke::gateway {
 namespace {
@@ -41,7 +41,7 @@
       upstream.id = "i-" + std::to_string(1000 + at);
       upstream.address = "10.0.0.1:" + std::to_string(1000 + at);
       upstream.seconds = at % 3 == 2 ? kSlow : kFast;
-      upstream.next = leader.now + kInterval * at / aUpstreams;
+      upstream.next = leader.now + kHeartbeatInterval * at / aUpstreams;
       mUpstreams.push_back(std::move(upstream));
     }
   }
@@ -52,7 +52,7 @@
     double requests = 0;
     double unowned = 0;
     for (const Instant end = leader.now + aTime; leader.now < end;) {
-      leader.Pass(kStep);
+      leader.AdvanceTime(kStep);
       for (Upstream& upstream : mUpstreams) {
         if (leader.now >= upstream.next) {
           Beat(upstream);
@@ -93,7 +93,7 @@
     return overrun;
   }
 
-  Leader leader;
+  SimulatedLeader leader;
 
 private:
   /// Of each upstream, as From says.
@@ -119,24 +119,25 @@
     }
     mDue = {};
     mLoad.set_service("board");
-    leader.granter->AddLoad(mLoad);
+    leader.rangeAssigner->AddLoad(mLoad);
     mLoad.Clear();
     // A report is an average of some seven answers, which differ by about
     // their own length.
     std::lognormal_distribution<double> noise(-0.07, 0.37);
     for (const Upstream& upstream : mUpstreams) {
-      leader.granter->NoteTime(upstream.id, upstream.seconds * noise(mRandom));
+      leader.rangeAssigner->RecordLatency(upstream.id,
+                                          upstream.seconds * noise(mRandom));
     }
   }
 
   void Beat(Upstream& aUpstream)
   {
-    Heartbeat heartbeat = From(aUpstream.id, ++aUpstream.sequence);
+    Heartbeat heartbeat = HeartbeatFrom(aUpstream.id, ++aUpstream.sequence);
     heartbeat.address = aUpstream.address;
     heartbeat.released = std::exchange(aUpstream.released, {});
-    const auto grants = leader.Answer(heartbeat);
+    const auto grants = leader.HandleHeartbeat(heartbeat);
     if (!grants) {
-      aUpstream.next = leader.now + kInterval;
+      aUpstream.next = leader.now + kHeartbeatInterval;
       return;
     }
     std::vector<KeySpan> kept;
@@ -144,13 +145,14 @@
       kept.push_back(range.keys);
     }
     for (const KeySpan& keys : aUpstream.held) {
-      for (const KeySpan& left : Without(keys, kept)) {
+      for (const KeySpan& left : Subtract(keys, kept)) {
         aUpstream.released.push_back({ left, "h" });
       }
     }
     aUpstream.held = std::move(kept);
     aUpstream.next =
-      leader.now + (aUpstream.released.empty() ? kInterval : kReleaseTime);
+      leader.now +
+      (aUpstream.released.empty() ? kHeartbeatInterval : kReleaseTime);
   }
 
   std::mt19937 mRandom;
@@ -178,7 +180,7 @@
 // refusals if shares follow loads and times that differ by chance: some owners
 // are overrun while others idle, and keys that are moved have no owner for a
 // fifth of a second.
-TEST(GranterFleet, EvenLoadOfManyHoldersIsSharedOut)
+TEST(RangeAssignerFleet, EvenLoadOfManyHoldersIsSharedOut)
 {
   Fleet fleet(400, kBusyRequests, 20261203);
   fleet.PassFor(std::chrono::seconds{ 15 });
@@ -188,31 +190,31 @@
 
 // The same, and another host takes over the lead: it knows who owns which key,
 // and neither loads nor times. Until it knows them the keys must stay.
-TEST(GranterFleet, NewLeaderMovesFewKeys)
+TEST(RangeAssignerFleet, NewLeaderMovesFewKeys)
 {
   Fleet fleet(400, kBusyRequests, 20261203);
   fleet.PassFor(std::chrono::seconds{ 15 });
-  fleet.leader.Replace();
+  fleet.leader.FailOver();
   EXPECT_LE(fleet.PassFor(std::chrono::seconds{ 5 }), kMostUnowned);
 }
 
 // A fleet of two thousand upstreams starts: each registers, which changes the
 // state, and asks for keys. The leader must not go over all of them for each;
 // it would be deposed before it has granted anything.
-TEST(GranterFleet, RegistrationsDoNotEachSumUpAllHolders)
+TEST(RangeAssignerFleet, RegistrationsDoNotEachSumUpAllHolders)
 {
   constexpr size_t kFleet = 2000;
-  Leader leader;
+  SimulatedLeader leader;
   for (uint64_t sequence = 1; sequence <= 3; ++sequence) {
     for (size_t at = 0; at < kFleet; ++at) {
-      Heartbeat heartbeat = From("i-" + std::to_string(at), sequence);
+      Heartbeat heartbeat = HeartbeatFrom("i-" + std::to_string(at), sequence);
       heartbeat.address = "10.0.0.1:" + std::to_string(1000 + at);
-      leader.Answer(heartbeat);
-      leader.now += kInterval / kFleet;
+      leader.HandleHeartbeat(heartbeat);
+      leader.now += kHeartbeatInterval / kFleet;
     }
-    leader.Pass(Granter::kTick);
+    leader.AdvanceTime(RangeAssigner::kTick);
   }
-  EXPECT_LT(leader.granter->Sums(), 3 * kFleet / 10);
+  EXPECT_LT(leader.rangeAssigner->Sums(), 3 * kFleet / 10);
   const auto& segments = leader.state.Ranges("board")->Segments();
   const auto free =
     std::count_if(segments.begin(), segments.end(), [](const auto& aSegment) {
@@ -224,26 +226,27 @@
 // Guards against a leader whose work for one heartbeat, or for one tick, grows
 // with the fleet: it is deposed while thousands register, again and again, and
 // nobody is granted keys.
-TEST(GranterFleet, WorkForAHeartbeatDoesNotGrowWithTheFleet)
+TEST(RangeAssignerFleet, WorkForAHeartbeatDoesNotGrowWithTheFleet)
 {
   constexpr uint64_t kRounds = 4;
   constexpr uint64_t kVisitsEach = 16;
   for (const size_t fleet : { 100U, 1000U, 10000U }) {
-    Leader leader;
+    SimulatedLeader leader;
     for (uint64_t sequence = 1; sequence <= kRounds; ++sequence) {
       Instant ticked = leader.now;
       for (size_t at = 0; at < fleet; ++at) {
-        Heartbeat heartbeat = From("i-" + std::to_string(at), sequence);
+        Heartbeat heartbeat =
+          HeartbeatFrom("i-" + std::to_string(at), sequence);
         heartbeat.address = "10.0.0.1:" + std::to_string(at);
-        leader.Answer(heartbeat);
-        leader.now += kInterval / fleet;
-        if (leader.now - ticked >= Granter::kTick) {
+        leader.HandleHeartbeat(heartbeat);
+        leader.now += kHeartbeatInterval / fleet;
+        if (leader.now - ticked >= RangeAssigner::kTick) {
           ticked = leader.now;
-          leader.Commit(leader.granter->Tick(leader.state, leader.now));
+          leader.Commit(leader.rangeAssigner->Tick(leader.state, leader.now));
         }
       }
     }
-    EXPECT_LE(leader.granter->Visits(), kVisitsEach * kRounds * fleet);
+    EXPECT_LE(leader.rangeAssigner->Visits(), kVisitsEach * kRounds * fleet);
     EXPECT_GE(leader.state.Ranges("board")->Segments().size(), fleet / 2);
   }
 }
@@ -251,68 +254,68 @@
 // Guards against sums that are made anew for each newcomer while others hold
 // keys already: the leader stands still as soon as it has granted the first
 // keys, and is deposed.
-TEST(GranterFleet, NewcomersAmongHoldersDoNotEachSumUpAllHolders)
+TEST(RangeAssignerFleet, NewcomersAmongHoldersDoNotEachSumUpAllHolders)
 {
   constexpr size_t kFleet = 2000;
-  Leader leader;
+  SimulatedLeader leader;
   const auto answer = [&](size_t aAt, uint64_t aSequence) {
-    Heartbeat heartbeat = From("i-" + std::to_string(aAt), aSequence);
+    Heartbeat heartbeat = HeartbeatFrom("i-" + std::to_string(aAt), aSequence);
     heartbeat.address = "10.0.0.1:" + std::to_string(aAt);
-    leader.Answer(heartbeat);
+    leader.HandleHeartbeat(heartbeat);
   };
   for (uint64_t sequence = 1; sequence <= 3; ++sequence) {
     for (size_t at = 0; at < kFleet / 2; ++at) {
       answer(at, sequence);
-      leader.now += kInterval / (kFleet / 2);
+      leader.now += kHeartbeatInterval / (kFleet / 2);
     }
   }
-  const uint64_t before = leader.granter->Sums();
+  const uint64_t before = leader.rangeAssigner->Sums();
   for (size_t at = 0; at < kFleet / 2; ++at) {
     answer(kFleet / 2 + at, 1);
     answer(at, 4);
-    leader.now += kInterval / (kFleet / 2);
+    leader.now += kHeartbeatInterval / (kFleet / 2);
   }
   // Every 20 ms at most, within one interval of a second.
-  EXPECT_LE(leader.granter->Sums() - before, 60U);
+  EXPECT_LE(leader.rangeAssigner->Sums() - before, 60U);
 }
 
 // Guards against the same when a fleet was silent and comes back.
-TEST(GranterFleet, HoldersThatComeBackDoNotEachSumUpAllHolders)
+TEST(RangeAssignerFleet, HoldersThatComeBackDoNotEachSumUpAllHolders)
 {
   constexpr size_t kFleet = 2000;
-  Leader leader;
+  SimulatedLeader leader;
   const auto round = [&](uint64_t aSequence) {
     for (size_t at = 0; at < kFleet; ++at) {
-      Heartbeat heartbeat = From("i-" + std::to_string(at), aSequence);
+      Heartbeat heartbeat = HeartbeatFrom("i-" + std::to_string(at), aSequence);
       heartbeat.address = "10.0.0.1:" + std::to_string(at);
-      leader.Answer(heartbeat);
-      leader.now += kInterval / kFleet;
+      leader.HandleHeartbeat(heartbeat);
+      leader.now += kHeartbeatInterval / kFleet;
     }
-    leader.Pass(Granter::kTick);
+    leader.AdvanceTime(RangeAssigner::kTick);
   };
   for (uint64_t sequence = 1; sequence <= 3; ++sequence) {
     round(sequence);
   }
-  leader.Pass(kInterval * 3);
-  const uint64_t before = leader.granter->Sums();
+  leader.AdvanceTime(kHeartbeatInterval * 3);
+  const uint64_t before = leader.rangeAssigner->Sums();
   round(4);
-  EXPECT_LE(leader.granter->Sums() - before, 60U);
+  EXPECT_LE(leader.rangeAssigner->Sums() - before, 60U);
 }
 
 // Guards against a slow log that is kept slow by the same commands again and
 // again: a seventh of a fleet falls dark while nothing is committed.
-TEST(GranterFleet, KeysAreNotFreedAgainWhileTheLogIsSlow)
+TEST(RangeAssignerFleet, KeysAreNotFreedAgainWhileTheLogIsSlow)
 {
   constexpr size_t kFleet = 700;
-  Leader leader;
+  SimulatedLeader leader;
   for (uint64_t sequence = 1; sequence <= 4; ++sequence) {
     for (size_t at = 0; at < kFleet; ++at) {
-      Heartbeat heartbeat = From("i-" + std::to_string(at), sequence);
+      Heartbeat heartbeat = HeartbeatFrom("i-" + std::to_string(at), sequence);
       heartbeat.address = "10.0.0.1:" + std::to_string(at);
-      leader.Answer(heartbeat);
-      leader.now += kInterval / kFleet;
+      leader.HandleHeartbeat(heartbeat);
+      leader.now += kHeartbeatInterval / kFleet;
     }
-    leader.Pass(Granter::kTick);
+    leader.AdvanceTime(RangeAssigner::kTick);
   }
   std::set<std::string> holders;
   for (const auto& segment : leader.state.Ranges("board")->Segments()) {
@@ -321,13 +324,14 @@
     }
   }
   ASSERT_GT(holders.size(), kFleet / 2);
-  leader.now += kHold * 2;
+  leader.now += kLeaseDuration * 2;
   size_t planned = 0;
   for (int tick = 0; tick < 9; ++tick) {
-    for (const auto& command : leader.granter->Tick(leader.state, leader.now)) {
+    for (const auto& command :
+         leader.rangeAssigner->Tick(leader.state, leader.now)) {
       planned += command.has_free_ranges() ? 1 : 0;
     }
-    leader.now += Granter::kTick;
+    leader.now += RangeAssigner::kTick;
   }
   EXPECT_EQ(planned, holders.size());
 }
@@ -335,26 +339,27 @@
 // Heartbeats of many instances arrive while the first grants are committed.
 // Each must be planned other keys: of grants of the same keys the log takes
 // one.
-TEST(GranterFleet, GrantsUnderWayAreOfDifferentKeys)
+TEST(RangeAssignerFleet, GrantsUnderWayAreOfDifferentKeys)
 {
   constexpr size_t kFleet = 50;
-  Leader leader;
+  SimulatedLeader leader;
   const auto heartbeat = [](size_t aAt, uint64_t aSequence) {
-    Heartbeat one = From("i-" + std::to_string(aAt), aSequence);
+    Heartbeat one = HeartbeatFrom("i-" + std::to_string(aAt), aSequence);
     one.address = "10.0.0.1:" + std::to_string(1000 + aAt);
     return one;
   };
   for (size_t at = 0; at < kFleet; ++at) {
-    leader.Answer(heartbeat(at, 1));
+    leader.HandleHeartbeat(heartbeat(at, 1));
   }
-  leader.Pass(kInterval * 3 / 2);
+  leader.AdvanceTime(kHeartbeatInterval * 3 / 2);
   const auto plan = [&](uint64_t aSequence) {
     std::vector<KeySpan> planned;
     for (size_t at = 0; at < kFleet; ++at) {
       const Heartbeat one = heartbeat(at, aSequence);
-      leader.Commit(leader.granter->OnHeartbeat(one, leader.state, leader.now));
+      leader.Commit(
+        leader.rangeAssigner->OnHeartbeat(one, leader.state, leader.now));
       const auto grant =
-        leader.granter->PlanGrant(one, leader.state, leader.now);
+        leader.rangeAssigner->PlanGrant(one, leader.state, leader.now);
       if (grant) {
         for (const wire::KeyRange& range : grant->grant_ranges().ranges()) {
           planned.push_back({ range.from(), range.to() });
@@ -367,11 +372,11 @@
   EXPECT_GT(planned.size(), kFleet / 2);
   for (size_t one = 0; one < planned.size(); ++one) {
     for (size_t other = 0; other < one; ++other) {
-      EXPECT_FALSE(Overlap(planned[one], planned[other]));
+      EXPECT_FALSE(Intersect(planned[one], planned[other]));
     }
   }
   // None was committed: the keys are planned again.
-  leader.Pass(milliseconds{ 400 });
+  leader.AdvanceTime(milliseconds{ 400 });
   EXPECT_GT(plan(3).size(), kFleet / 2);
 }
 
--- a/src/librattandyke/gateway/granter_leases.cpp
+++ b/src/librattandyke/gateway/range_assigner_leases.cpp
@@ -1,5 +1,5 @@
 // How holds end: by their time, by a release, or by a successor.
-#include "gateway/granter.h"
+#include "gateway/range_assigner.h"
 
 #include <algorithm>
 
@@ -34,7 +34,7 @@
 } // namespace
 
 void
-Granter::Watch(const std::string& aId, Lease& aLease, Instant aAt)
+RangeAssigner::Watch(const std::string& aId, Lease& aLease, Instant aAt)
 {
   Unwatch(aId, aLease);
   aLease.watchedAt = aAt;
@@ -42,7 +42,7 @@
 }
 
 void
-Granter::Unwatch(const std::string& aId, Lease& aLease)
+RangeAssigner::Unwatch(const std::string& aId, Lease& aLease)
 {
   if (aLease.watchedAt) {
     mWatched.erase({ *aLease.watchedAt, aId });
@@ -51,7 +51,7 @@
 }
 
 bool
-Granter::HoldsKeys(const std::string& aId, const State& aState)
+RangeAssigner::HoldsKeys(const std::string& aId, const State& aState)
 {
   const auto& all = aState.AllRanges();
   return std::any_of(all.begin(), all.end(), [&](const auto& aItem) {
@@ -63,9 +63,9 @@
 /// instance, and ones that were held up arrive together. Two that are most of
 /// an interval apart come from an instance that goes on.
 bool
-Granter::Returns(const Heartbeat& aHeartbeat,
-                 const wire::UpstreamInstance* aKnown,
-                 Instant aNow)
+RangeAssigner::Returns(const Heartbeat& aHeartbeat,
+                       const wire::UpstreamInstance* aKnown,
+                       Instant aNow)
 {
   Lease& lease = mLeases[aHeartbeat.instance];
   const bool withdrawn = aKnown != nullptr && aKnown->withdrawn() &&
@@ -85,7 +85,7 @@
 /// numbered anew. The end of the earlier life's hold stays: it is the bound
 /// until the registration of the later one is committed.
 void
-Granter::BeginLife(const std::string& aInstance, uint64_t aLife)
+RangeAssigner::BeginLife(const std::string& aInstance, uint64_t aLife)
 {
   Lease& lease = mLeases[aInstance];
   Lease next;
@@ -96,10 +96,10 @@
 }
 
 void
-Granter::NoteReplaced(const Heartbeat& aHeartbeat,
-                      const State& aState,
-                      Instant aNow,
-                      std::vector<wire::GatewayCommand>& aCommands)
+RangeAssigner::NoteReplaced(const Heartbeat& aHeartbeat,
+                            const State& aState,
+                            Instant aNow,
+                            std::vector<wire::GatewayCommand>& aCommands)
 {
   Lease& lease = mLeases[aHeartbeat.instance];
   if (!lease.firstHeartbeat) {
@@ -123,7 +123,7 @@
 }
 
 std::vector<std::string>
-Granter::OthersAtAddress(const Heartbeat& aHeartbeat, const State& aState)
+RangeAssigner::OthersAtAddress(const Heartbeat& aHeartbeat, const State& aState)
 {
   std::set<std::string>& ids = mAtAddress[aHeartbeat.address];
   ids.insert(aHeartbeat.instance);
@@ -146,9 +146,9 @@
 /// Where lives are not told, nothing in a heartbeat does, and only the end of
 /// its hold is certain.
 bool
-Granter::IsOver(const wire::UpstreamInstance& aOld,
-                const Heartbeat& aOther,
-                Instant aNow) const
+RangeAssigner::IsOver(const wire::UpstreamInstance& aOld,
+                      const Heartbeat& aOther,
+                      Instant aNow) const
 {
   if (aOld.life() > 0 && aOther.life > 0) {
     return aOther.life > aOld.life();
@@ -158,9 +158,9 @@
 }
 
 void
-Granter::FreeAll(const std::string& aId,
-                 const State& aState,
-                 std::vector<wire::GatewayCommand>& aCommands)
+RangeAssigner::FreeAll(const std::string& aId,
+                       const State& aState,
+                       std::vector<wire::GatewayCommand>& aCommands)
 {
   for (const auto& [service, ranges] : aState.AllRanges()) {
     wire::FreeRanges free;
@@ -176,9 +176,9 @@
 }
 
 void
-Granter::NoteReleased(const Heartbeat& aHeartbeat,
-                      const State& aState,
-                      std::vector<wire::GatewayCommand>& aCommands)
+RangeAssigner::NoteReleased(const Heartbeat& aHeartbeat,
+                            const State& aState,
+                            std::vector<wire::GatewayCommand>& aCommands)
 {
   const RangeTable* ranges = aState.Ranges(aHeartbeat.service);
   if (ranges == nullptr || aHeartbeat.released.empty()) {
@@ -194,7 +194,7 @@
       // A release in a heartbeat that was sent before the grant speaks of an
       // earlier hold of these keys.
       const bool current = segment.sequence() < aHeartbeat.sequence;
-      const auto common = Overlap(SpanOf(segment), released.keys);
+      const auto common = Intersect(SpanOf(segment), released.keys);
       if (current && common) {
         AddRange(free, *common, released.handover);
       }
@@ -208,9 +208,9 @@
 /// A lease is looked at when its hold was to end as it was last looked at, so
 /// that renewals cost nothing here.
 void
-Granter::FreeExpired(const State& aState,
-                     Instant aNow,
-                     std::vector<wire::GatewayCommand>& aCommands)
+RangeAssigner::FreeExpired(const State& aState,
+                           Instant aNow,
+                           std::vector<wire::GatewayCommand>& aCommands)
 {
   while (!mWatched.empty() && mWatched.begin()->first <= aNow) {
     const std::string id = mWatched.begin()->second;
@@ -235,9 +235,9 @@
 }
 
 void
-Granter::Forget(const State& aState,
-                Instant aNow,
-                std::vector<wire::GatewayCommand>& aCommands)
+RangeAssigner::Forget(const State& aState,
+                      Instant aNow,
+                      std::vector<wire::GatewayCommand>& aCommands)
 {
   const size_t most =
     std::max(mLeases.size() / kForgetParts + 1, kLeastForgotten);
--- a/src/librattandyke/gateway/granter_sums.cpp
+++ b/src/librattandyke/gateway/range_assigner_loads.cpp
@@ -1,5 +1,5 @@
 // What the holders of a service's keys have, and how fast they are.
-#include "gateway/granter.h"
+#include "gateway/range_assigner.h"
 
 #include <algorithm>
 
@@ -35,10 +35,10 @@
 /// it is deposed, and its successors after it, and no keys are granted. So the
 /// sums of a large service stand for a few milliseconds; those of a small one
 /// are of each state.
-const Granter::Holders&
-Granter::HoldersOf(const std::string& aService,
-                   const State& aState,
-                   Instant aNow)
+const RangeAssigner::Holders&
+RangeAssigner::HoldersOf(const std::string& aService,
+                         const State& aState,
+                         Instant aNow)
 {
   Group& group = mGroups[aService];
   const bool other = group.holdersStale || group.holdersAt != aState.Applied();
@@ -65,10 +65,10 @@
 /// speed, it makes a holder look too slow or too fast for its keys; they are
 /// moved for that, and their requests are refused meanwhile. So a time counts
 /// as much as there are reports of it, beside what is usual for the service.
-Granter::Holders
-Granter::SpeedsOf(const std::string& aService,
-                  const State& aState,
-                  Instant aNow) const
+RangeAssigner::Holders
+RangeAssigner::SpeedsOf(const std::string& aService,
+                        const State& aState,
+                        Instant aNow) const
 {
   Holders holders;
   std::vector<std::pair<Holder*, const Lease*>> timed;
@@ -115,10 +115,10 @@
   return holders;
 }
 
-Granter::Holders
-Granter::SumUpHolders(const std::string& aService,
-                      const State& aState,
-                      Instant aNow)
+RangeAssigner::Holders
+RangeAssigner::SumUpHolders(const std::string& aService,
+                            const State& aState,
+                            Instant aNow)
 {
   Holders holders = SpeedsOf(aService, aState, aNow);
   const RangeTable* ranges = aState.Ranges(aService);
@@ -144,13 +144,13 @@
 }
 
 double
-Granter::EvenLevel(const Group& aGroup)
+RangeAssigner::EvenLevel(const Group& aGroup)
 {
   return aGroup.load.TotalLoad() / std::max(aGroup.speeds, kLeastSpeed);
 }
 
 void
-Granter::NoteTime(const std::string& aInstance, double aSeconds)
+RangeAssigner::RecordLatency(const std::string& aInstance, double aSeconds)
 {
   if (aSeconds <= 0) {
     return;
--- a/src/librattandyke/gateway/granter_moves.cpp
+++ b/src/librattandyke/gateway/range_assigner_moves.cpp
@@ -1,5 +1,5 @@
 // Who gets free keys, and which keys a busy holder gives away.
-#include "gateway/granter.h"
+#include "gateway/range_assigner.h"
 
 #include <algorithm>
 #include <cmath>
@@ -76,10 +76,10 @@
 /// What the holder gives up is taken by the instances whose heartbeats come
 /// next: keys that wait for a certain instance's heartbeat have no owner.
 void
-Granter::PlanMoves(const Heartbeat& aHeartbeat,
-                   const State& aState,
-                   Instant aNow,
-                   std::vector<wire::GatewayCommand>& aCommands)
+RangeAssigner::PlanMoves(const Heartbeat& aHeartbeat,
+                         const State& aState,
+                         Instant aNow,
+                         std::vector<wire::GatewayCommand>& aCommands)
 {
   const std::string& id = aHeartbeat.instance;
   const RangeTable* ranges = aState.Ranges(aHeartbeat.service);
@@ -148,10 +148,10 @@
 /// nobody can take them they stay: without an owner they would be refused, too,
 /// and moved in vain.
 void
-Granter::GiveUpAll(const Heartbeat& aHeartbeat,
-                   const State& aState,
-                   Instant aNow,
-                   std::vector<wire::GatewayCommand>& aCommands) const
+RangeAssigner::GiveUpAll(const Heartbeat& aHeartbeat,
+                         const State& aState,
+                         Instant aNow,
+                         std::vector<wire::GatewayCommand>& aCommands) const
 {
   const RangeTable* ranges = aState.Ranges(aHeartbeat.service);
   const auto& instances = aState.Instances();
@@ -175,9 +175,9 @@
 /// The keys are left out of the instance's answers from then on, by the
 /// replicated state, so that a new leader goes on with it.
 void
-Granter::HoldBack(const Heartbeat& aHeartbeat,
-                  const std::vector<KeySpan>& aSpans,
-                  std::vector<wire::GatewayCommand>& aCommands)
+RangeAssigner::HoldBack(const Heartbeat& aHeartbeat,
+                        const std::vector<KeySpan>& aSpans,
+                        std::vector<wire::GatewayCommand>& aCommands)
 {
   if (aSpans.empty()) {
     return;
@@ -194,7 +194,7 @@
 }
 
 double
-Granter::UsualTime(const Holders& aHolders)
+RangeAssigner::UsualTime(const Holders& aHolders)
 {
   double sum = 0;
   for (const auto& [id, holder] : aHolders) {
@@ -204,10 +204,10 @@
 }
 
 std::vector<KeySpan>
-Granter::KeysTooMuch(const std::string& aId,
-                     double aPerRequest,
-                     const RangeTable& aRanges,
-                     const Group& aGroup)
+RangeAssigner::KeysTooMuch(const std::string& aId,
+                           double aPerRequest,
+                           const RangeTable& aRanges,
+                           const Group& aGroup)
 {
   std::vector<KeySpan> keys;
   for (const uint32_t key : aGroup.index.HeldBy(aId)) {
@@ -226,12 +226,12 @@
 
 /// The fastest instance whose heartbeat is due when the key is released, and
 /// that has no such key: two of them would share what one can have.
-Granter::Holders::iterator
-Granter::TakerAlone(const std::string& aFrom,
-                    const RangeTable& aRanges,
-                    const Group& aGroup,
-                    Holders& aHolders,
-                    Instant aNow) const
+RangeAssigner::Holders::iterator
+RangeAssigner::TakerAlone(const std::string& aFrom,
+                          const RangeTable& aRanges,
+                          const Group& aGroup,
+                          Holders& aHolders,
+                          Instant aNow) const
 {
   auto best = aHolders.end();
   for (auto at = aHolders.begin(); at != aHolders.end(); ++at) {
@@ -258,11 +258,11 @@
 /// others look faster wherever it is. Moved each time, it had no owner for 0.1
 /// to 0.9 s in every one or two; so it stays where it was moved.
 void
-Granter::MoveKeyAlone(const Heartbeat& aHeartbeat,
-                      const RangeTable& aRanges,
-                      Holders& aHolders,
-                      Instant aNow,
-                      std::vector<KeySpan>& aGiven)
+RangeAssigner::MoveKeyAlone(const Heartbeat& aHeartbeat,
+                            const RangeTable& aRanges,
+                            Holders& aHolders,
+                            Instant aNow,
+                            std::vector<KeySpan>& aGiven)
 {
   Group& group = mGroups[aHeartbeat.service];
   Holder& hot = aHolders.at(aHeartbeat.instance);
@@ -299,7 +299,7 @@
 /// seconds. So such keys go only to an instance whose heartbeat is due about
 /// when they are released, with the time for which its answer may be held.
 bool
-Granter::TakesSoon(const std::string& aInstance, Instant aNow) const
+RangeAssigner::TakesSoon(const std::string& aInstance, Instant aNow) const
 {
   const auto lease = mLeases.find(aInstance);
   if (lease == mLeases.end() || !lease->second.lastHeartbeat) {
@@ -311,7 +311,7 @@
 }
 
 void
-Granter::EndReservations(Group& aGroup, Instant aNow)
+RangeAssigner::EndReservations(Group& aGroup, Instant aNow)
 {
   std::erase_if(aGroup.moves, [&](const Move& aMove) {
     return aNow - aMove.startedAt >= kMoveReserved;
@@ -321,11 +321,11 @@
   });
 }
 
-const Granter::Move*
-Granter::MoveOf(const Group& aGroup, KeySpan aKeys, Instant aNow)
+const RangeAssigner::Move*
+RangeAssigner::MoveOf(const Group& aGroup, KeySpan aKeys, Instant aNow)
 {
   for (const Move& move : aGroup.moves) {
-    if (aNow - move.startedAt < kMoveReserved && Overlap(aKeys, move.keys)) {
+    if (aNow - move.startedAt < kMoveReserved && Intersect(aKeys, move.keys)) {
       return &move;
     }
   }
@@ -333,9 +333,9 @@
 }
 
 bool
-Granter::AwaitsKeys(const Heartbeat& aHeartbeat,
-                    const State& aState,
-                    Instant aNow)
+RangeAssigner::ShouldDelayAnswer(const Heartbeat& aHeartbeat,
+                                 const State& aState,
+                                 Instant aNow)
 {
   const RangeTable* ranges = aState.Ranges(aHeartbeat.service);
   const auto group = mGroups.find(aHeartbeat.service);
@@ -364,9 +364,9 @@
 }
 
 void
-Granter::UpdatePool(const std::string& aService,
-                    const State& aState,
-                    Instant aNow)
+RangeAssigner::UpdatePool(const std::string& aService,
+                          const State& aState,
+                          Instant aNow)
 {
   Group& group = mGroups[aService];
   const RangeTable* ranges = aState.Ranges(aService);
@@ -380,12 +380,12 @@
 }
 
 std::optional<KeySpan>
-Granter::PieceFor(KeySpan aFree,
-                  const Group& aGroup,
-                  const Holder& aTaker,
-                  double aShare,
-                  Duration aAge,
-                  bool aFirst)
+RangeAssigner::PieceFor(KeySpan aFree,
+                        const Group& aGroup,
+                        const Holder& aTaker,
+                        double aShare,
+                        Duration aAge,
+                        bool aFirst)
 {
   const double load = aGroup.load.LoadOf(aFree);
   if (aTaker.load + load <= kFits * aShare) {
@@ -411,7 +411,7 @@
 /// for its first keys for a minute. A grant that fails leaves its keys to
 /// others after a moment.
 std::vector<KeySpan>
-Granter::NotPlanned(Group& aGroup, KeySpan aFree, Instant aNow)
+RangeAssigner::NotPlanned(Group& aGroup, KeySpan aFree, Instant aNow)
 {
   while (!aGroup.plannedOrder.empty() &&
          aNow - aGroup.plannedOrder.front().first >= kPlannedFor) {
@@ -437,16 +437,16 @@
 }
 
 void
-Granter::NotePlanned(Group& aGroup, KeySpan aKeys, Instant aNow)
+RangeAssigner::NotePlanned(Group& aGroup, KeySpan aKeys, Instant aNow)
 {
   aGroup.planned[aKeys.from] = aKeys.to;
   aGroup.plannedOrder.emplace_back(aNow, aKeys.from);
 }
 
 std::optional<wire::GatewayCommand>
-Granter::PlanGrant(const Heartbeat& aHeartbeat,
-                   const State& aState,
-                   Instant aNow)
+RangeAssigner::PlanGrant(const Heartbeat& aHeartbeat,
+                         const State& aState,
+                         Instant aNow)
 {
   const std::string& id = aHeartbeat.instance;
   const wire::UpstreamInstance* instance = aState.FindInstance(id);
@@ -529,16 +529,16 @@
 }
 
 std::optional<KeySpan>
-Granter::SliceOf(const std::string& aHolder,
-                 const RangeTable& aRanges,
-                 const Group& aGroup,
-                 const std::vector<KeySpan>& aExcept,
-                 double aWanted)
+RangeAssigner::SliceOf(const std::string& aHolder,
+                       const RangeTable& aRanges,
+                       const Group& aGroup,
+                       const std::vector<KeySpan>& aExcept,
+                       double aWanted)
 {
   std::optional<KeySpan> best;
   const KeyLoadMap& load = aGroup.load;
   for (const uint32_t key : aGroup.index.HeldBy(aHolder)) {
-    for (const KeySpan& keys : Without(SpanOf(aRanges.Find(key)), aExcept)) {
+    for (const KeySpan& keys : Subtract(SpanOf(aRanges.Find(key)), aExcept)) {
       const auto slice = load.FindHotRun(keys, aWanted);
       if (slice && (!best || load.LoadOf(*slice) > load.LoadOf(*best))) {
         best = slice;
@@ -549,7 +549,7 @@
 }
 
 void
-Granter::AddLoad(const wire::RangeLoad& aLoad)
+RangeAssigner::AddLoad(const wire::RangeLoad& aLoad)
 {
   mGroups[aLoad.service()].load.Add(aLoad);
 }
--- a/src/librattandyke/gateway/granter_moves_test.cpp
+++ b/src/librattandyke/gateway/range_assigner_moves_test.cpp
@@ -1,10 +1,10 @@
-#include "gateway/granter.h"
+#include "gateway/range_assigner.h"
 
 #include <random>
 
 #include <gtest/gtest.h>
 
-#include "testing/granter_leader.h"
+#include "testing/simulated_leader.h"
 
 namespace rattandyke::gateway {
 namespace {
@@ -13,7 +13,7 @@
 using std::chrono::milliseconds;
 
 uint32_t
-FirstKeyOf(const Leader& aLeader, const std::string& aHolder)
+FirstKeyOf(const SimulatedLeader& aLeader, const std::string& aHolder)
 {
   const RangeTable& ranges = *aLeader.state.Ranges("board");
   uint32_t first = 0;
@@ -25,7 +25,7 @@
 
 /// The first keys of some holders get far more requests than they can run.
 void
-MakeBusy(Leader& aLeader,
+MakeBusy(SimulatedLeader& aLeader,
          uint32_t aKeys,
          const std::vector<std::string>& aHolders = { "a" })
 {
@@ -39,13 +39,13 @@
         load.add_requests(4);
       }
     }
-    aLeader.granter->AddLoad(load);
-    aLeader.Pass(milliseconds{ 100 });
+    aLeader.rangeAssigner->AddLoad(load);
+    aLeader.AdvanceTime(milliseconds{ 100 });
   }
 }
 
 bool
-HoldsBack(const Leader& aLeader)
+HoldsBack(const SimulatedLeader& aLeader)
 {
   for (const auto& segment : aLeader.state.Ranges("board")->Segments()) {
     if (segment.held_back()) {
@@ -59,24 +59,27 @@
 /// @param aLoad gives the requests of a report of 200 ms.
 template<typename Load>
 void
-PassUnder(Leader& aLeader, int aReports, uint64_t& aSequence, Load aLoad)
+PassUnder(SimulatedLeader& aLeader,
+          int aReports,
+          uint64_t& aSequence,
+          Load aLoad)
 {
   for (int report = 0; report < aReports; ++report) {
     wire::RangeLoad load = aLoad();
     load.set_service("board");
-    aLeader.granter->AddLoad(load);
-    aLeader.Pass(milliseconds{ 200 });
+    aLeader.rangeAssigner->AddLoad(load);
+    aLeader.AdvanceTime(milliseconds{ 200 });
     if (report % 5 == 4) {
       ++aSequence;
-      aLeader.Answer(From("b", aSequence));
-      aLeader.Answer(From("a", aSequence));
+      aLeader.HandleHeartbeat(HeartbeatFrom("b", aSequence));
+      aLeader.HandleHeartbeat(HeartbeatFrom("a", aSequence));
     }
   }
 }
 
 /// Heartbeats of ten holders with even loads, which keep their slots busy.
 void
-PassEvenly(Leader& aLeader, int aReports, uint64_t& aSequence)
+PassEvenly(SimulatedLeader& aLeader, int aReports, uint64_t& aSequence)
 {
   constexpr uint32_t kRequests = 24;
   for (int report = 0; report < aReports; ++report) {
@@ -87,61 +90,61 @@
                        kKeyCount);
       load.add_requests(1);
     }
-    aLeader.granter->AddLoad(load);
-    aLeader.Pass(milliseconds{ 200 });
+    aLeader.rangeAssigner->AddLoad(load);
+    aLeader.AdvanceTime(milliseconds{ 200 });
     if (report % 5 == 4) {
       ++aSequence;
       for (char id = 'a'; id <= 'j'; ++id) {
-        aLeader.Answer(From(std::string(1, id), aSequence));
+        aLeader.HandleHeartbeat(HeartbeatFrom(std::string(1, id), aSequence));
       }
     }
   }
 }
 
 void
-NoteTimes(Leader& aLeader, const std::string& aHolder, double aSeconds)
+NoteTimes(SimulatedLeader& aLeader, const std::string& aHolder, double aSeconds)
 {
   constexpr int kReports = 10;
   for (int report = 0; report < kReports; ++report) {
-    aLeader.granter->NoteTime(aHolder, aSeconds);
+    aLeader.rangeAssigner->RecordLatency(aHolder, aSeconds);
   }
 }
 
 /// Ten holders share all keys while nobody is busy; then a new leader comes.
 void
-SettleEvenly(Leader& aLeader, uint64_t& aSequence)
+SettleEvenly(SimulatedLeader& aLeader, uint64_t& aSequence)
 {
   PassEvenly(aLeader, 10, aSequence);
-  aLeader.Replace();
+  aLeader.FailOver();
   for (char id = 'a'; id <= 'j'; ++id) {
     NoteTimes(aLeader, std::string(1, id), 0.02);
   }
   PassEvenly(aLeader, 30, aSequence);
-  aLeader.Replace();
+  aLeader.FailOver();
 }
 
 // A new leader knows no times. The first answer that is reported of one holder
 // was a long one, of the others there are more reports; all have about the same
 // load. Callers see keys without an owner if that one is taken for slow and
 // gives its keys away; they must stay until more is known.
-TEST(Granter, OneLongAnswerDoesNotMakeAHolderSlow)
+TEST(RangeAssigner, OneLongAnswerDoesNotMakeAHolderSlow)
 {
-  Leader leader;
+  SimulatedLeader leader;
   uint64_t sequence = 0;
   SettleEvenly(leader, sequence);
   ASSERT_FALSE(HoldsBack(leader));
   for (char id = 'b'; id <= 'j'; ++id) {
     NoteTimes(leader, std::string(1, id), 0.1);
   }
-  leader.granter->NoteTime("a", 0.3);
+  leader.rangeAssigner->RecordLatency("a", 0.3);
   PassEvenly(leader, 10, sequence);
   EXPECT_FALSE(HoldsBack(leader));
 }
 
 // That holder is slow indeed, as its next answers show: it gives keys away.
-TEST(Granter, ManyLongAnswersMakeAHolderSlow)
+TEST(RangeAssigner, ManyLongAnswersMakeAHolderSlow)
 {
-  Leader leader;
+  SimulatedLeader leader;
   uint64_t sequence = 0;
   SettleEvenly(leader, sequence);
   ASSERT_FALSE(HoldsBack(leader));
@@ -176,7 +179,7 @@
       Upstream upstream;
       upstream.id = std::string(1, static_cast<char>('a' + at));
       upstream.seconds = aSeconds[at];
-      upstream.next = leader.now + kInterval * at / aSeconds.size();
+      upstream.next = leader.now + kHeartbeatInterval * at / aSeconds.size();
       mUpstreams.push_back(upstream);
     }
   }
@@ -185,7 +188,7 @@
   void PassFor(Duration aTime, const std::vector<uint32_t>& aHot)
   {
     for (const Instant end = leader.now + aTime; leader.now < end;) {
-      leader.Pass(kStep);
+      leader.AdvanceTime(kStep);
       Come(aHot);
       for (Upstream& upstream : mUpstreams) {
         if (leader.now >= upstream.next && !Waits(upstream)) {
@@ -226,7 +229,7 @@
     }
   }
 
-  Leader leader;
+  SimulatedLeader leader;
   /// Owners of the hot key, one after the other, and the time without one.
   std::vector<std::string> owners;
   Duration unowned{};
@@ -261,13 +264,13 @@
     for (int other = 0; other < static_cast<int>(kOtherRequests / 5); ++other) {
       add(static_cast<uint32_t>(mRandom() % kKeyCount), 1);
     }
-    leader.granter->AddLoad(load);
+    leader.rangeAssigner->AddLoad(load);
     std::uniform_real_distribution<double> noise(0.7, 1.3);
     for (const Upstream& upstream : mUpstreams) {
       const bool full = !aHot.empty() && Owner() == upstream.id;
-      leader.granter->NoteTime(upstream.id,
-                               upstream.seconds * noise(mRandom) *
-                                 (full ? kFullSlower : 1));
+      leader.rangeAssigner->RecordLatency(upstream.id,
+                                          upstream.seconds * noise(mRandom) *
+                                            (full ? kFullSlower : 1));
     }
   }
 
@@ -275,15 +278,17 @@
   bool Waits(const Upstream& aUpstream)
   {
     return leader.now < aUpstream.next + kKeysAwaited &&
-           leader.granter->AwaitsKeys(
-             From(aUpstream.id, aUpstream.sequence), leader.state, leader.now);
+           leader.rangeAssigner->ShouldDelayAnswer(
+             HeartbeatFrom(aUpstream.id, aUpstream.sequence),
+             leader.state,
+             leader.now);
   }
 
   void Beat(Upstream& aUpstream)
   {
-    Heartbeat heartbeat = From(aUpstream.id, ++aUpstream.sequence);
+    Heartbeat heartbeat = HeartbeatFrom(aUpstream.id, ++aUpstream.sequence);
     heartbeat.released = std::exchange(aUpstream.released, {});
-    const auto grants = leader.Answer(heartbeat);
+    const auto grants = leader.HandleHeartbeat(heartbeat);
     for (const GrantedRange& held : aUpstream.held) {
       uint32_t from = held.keys.from;
       // What an answer leaves out of a range is released.
@@ -309,8 +314,8 @@
       aUpstream.held = grants->ranges;
     }
     aUpstream.next =
-      leader.now +
-      (aUpstream.released.empty() ? kInterval : Duration(milliseconds{ 100 }));
+      leader.now + (aUpstream.released.empty() ? kHeartbeatInterval
+                                               : Duration(milliseconds{ 100 }));
   }
 
   std::mt19937 mRandom;
@@ -322,15 +327,15 @@
 // Two holders get the same load, drawn at random, and are busy with it. One of
 // them always has some more by chance. Keys that are moved for that have no
 // owner for 200 ms, and are moved back when chance turns.
-TEST(Granter, ChanceMovesNoKeys)
+TEST(RangeAssigner, ChanceMovesNoKeys)
 {
   size_t moved = 0;
   for (unsigned seed = 1; seed <= 20; ++seed) {
-    Leader leader;
-    Settle(leader);
+    SimulatedLeader leader;
+    AssignKeysToTwo(leader);
     std::mt19937 random(seed);
-    leader.granter->NoteTime("a", 0.2);
-    leader.granter->NoteTime("b", 0.2);
+    leader.rangeAssigner->RecordLatency("a", 0.2);
+    leader.rangeAssigner->RecordLatency("b", 0.2);
     uint64_t sequence = 10;
     PassUnder(leader, 60, sequence, [&] {
       wire::RangeLoad load;
@@ -350,19 +355,20 @@
 // key is moved if that one's heartbeat comes about when it is released; were it
 // moved just after that heartbeat, it would have no owner for most of an
 // interval.
-TEST(Granter, BusiestKeyMovesOnlyToAnInstanceWhoseHeartbeatIsDue)
+TEST(RangeAssigner, BusiestKeyMovesOnlyToAnInstanceWhoseHeartbeatIsDue)
 {
   for (const bool due : { false, true }) {
-    Leader leader;
-    Settle(leader);
+    SimulatedLeader leader;
+    AssignKeysToTwo(leader);
     MakeBusy(leader, 1, { "a", "b" });
     for (int report = 0; report < 200; ++report) {
-      leader.granter->NoteTime("a", 0.1);
-      leader.granter->NoteTime("b", 0.03);
+      leader.rangeAssigner->RecordLatency("a", 0.1);
+      leader.rangeAssigner->RecordLatency("b", 0.03);
     }
-    leader.Answer(From("b", 8));
-    leader.Pass(due ? kInterval - milliseconds{ 100 } : Duration::zero());
-    leader.Answer(From("a", 8));
+    leader.HandleHeartbeat(HeartbeatFrom("b", 8));
+    leader.AdvanceTime(due ? kHeartbeatInterval - milliseconds{ 100 }
+                           : Duration::zero());
+    leader.HandleHeartbeat(HeartbeatFrom("a", 8));
     bool moved = false;
     for (const auto& segment : leader.state.Ranges("board")->Segments()) {
       moved |= segment.held_back() && segment.from() == segment.to();
@@ -374,10 +380,10 @@
 // Reports of an instance's time are averages of few answers. A single one that
 // is half as long again must not make its holder look slow and its keys move; a
 // holder that stays slow gives some away.
-TEST(Granter, OneLongAnswerMovesNoKeys)
+TEST(RangeAssigner, OneLongAnswerMovesNoKeys)
 {
-  Leader leader;
-  Settle(leader);
+  SimulatedLeader leader;
+  AssignKeysToTwo(leader);
   uint64_t sequence = 10;
   const auto even = [] {
     wire::RangeLoad load;
@@ -387,15 +393,15 @@
     }
     return load;
   };
-  leader.granter->NoteTime("a", 0.1);
-  leader.granter->NoteTime("b", 0.1);
+  leader.rangeAssigner->RecordLatency("a", 0.1);
+  leader.rangeAssigner->RecordLatency("b", 0.1);
   PassUnder(leader, 20, sequence, even);
-  leader.granter->NoteTime("a", 0.17);
+  leader.rangeAssigner->RecordLatency("a", 0.17);
   PassUnder(leader, 10, sequence, even);
   ASSERT_NE(leader.HolderOf(0), "");
   EXPECT_FALSE(HoldsBack(leader));
   for (int report = 0; report < 60; ++report) {
-    leader.granter->NoteTime("a", 0.4);
+    leader.rangeAssigner->RecordLatency("a", 0.4);
   }
   PassUnder(leader, 10, sequence, even);
   EXPECT_TRUE(HoldsBack(leader));
@@ -405,7 +411,7 @@
 // equally fast. Its requests wait or are refused at whoever owns it, which is
 // full and answers slower. Another one would gain them nothing, and each move
 // leaves the key without an owner for part of a second.
-TEST(Granter, KeyThatIsTooMuchForAnyUpstreamStays)
+TEST(RangeAssigner, KeyThatIsTooMuchForAnyUpstreamStays)
 {
   for (unsigned seed = 1; seed <= 10; ++seed) {
     BusyService service({ 0.1, 0.08, 0.11, 0.09, 0.12, 0.1 }, seed);
@@ -421,18 +427,18 @@
 // upstream, whose heartbeat has just come. A slice is taken by whoever comes
 // next, and not for an interval if that is the fast one; the keys beside them
 // are given away instead.
-TEST(Granter, KeyThatIsTooMuchIsInNoSlice)
+TEST(RangeAssigner, KeyThatIsTooMuchIsInNoSlice)
 {
-  Leader leader;
-  Settle(leader);
+  SimulatedLeader leader;
+  AssignKeysToTwo(leader);
   MakeBusy(leader, 2);
   for (int report = 0; report < 200; ++report) {
-    leader.granter->NoteTime("a", 0.1);
-    leader.granter->NoteTime("b", 0.02);
+    leader.rangeAssigner->RecordLatency("a", 0.1);
+    leader.rangeAssigner->RecordLatency("b", 0.02);
   }
   const uint32_t key = FirstKeyOf(leader, "a");
-  leader.Answer(From("b", 8));
-  leader.Answer(From("a", 8));
+  leader.HandleHeartbeat(HeartbeatFrom("b", 8));
+  leader.HandleHeartbeat(HeartbeatFrom("a", 8));
   EXPECT_FALSE(leader.state.Ranges("board")->Find(key).held_back());
   EXPECT_FALSE(leader.state.Ranges("board")->Find(key + 1).held_back());
   EXPECT_TRUE(HoldsBack(leader));
@@ -441,14 +447,14 @@
 // A holder has grown so slow that each of a dozen keys is too much for it,
 // which others carry with ease. It gives them away together as ever: one at a
 // time, it would be overrun for a dozen heartbeats.
-TEST(Granter, KeysThatAreTooMuchForASlowHolderOnlyGoTogether)
+TEST(RangeAssigner, KeysThatAreTooMuchForASlowHolderOnlyGoTogether)
 {
-  Leader leader;
-  Settle(leader);
+  SimulatedLeader leader;
+  AssignKeysToTwo(leader);
   const uint32_t first = FirstKeyOf(leader, "a");
   for (int report = 0; report < 200; ++report) {
-    leader.granter->NoteTime("a", 0.6);
-    leader.granter->NoteTime("b", 0.1);
+    leader.rangeAssigner->RecordLatency("a", 0.6);
+    leader.rangeAssigner->RecordLatency("b", 0.1);
   }
   for (int report = 0; report < 10; ++report) {
     wire::RangeLoad load;
@@ -457,11 +463,11 @@
       load.add_buckets(key);
       load.add_requests(1);
     }
-    leader.granter->AddLoad(load);
-    leader.Pass(milliseconds{ 200 });
+    leader.rangeAssigner->AddLoad(load);
+    leader.AdvanceTime(milliseconds{ 200 });
   }
-  leader.Answer(From("b", 8));
-  leader.Answer(From("a", 8));
+  leader.HandleHeartbeat(HeartbeatFrom("b", 8));
+  leader.HandleHeartbeat(HeartbeatFrom("a", 8));
   size_t given = 0;
   for (uint32_t key = first; key < first + 12; ++key) {
     given += leader.state.Ranges("board")->Find(key).held_back() ? 1 : 0;
@@ -471,7 +477,7 @@
 
 // The owner of such a key is three times as slow as the others. It runs a third
 // of what another would, so the key goes to another, and stays there.
-TEST(Granter, KeyThatIsTooMuchLeavesASlowUpstreamOnce)
+TEST(RangeAssigner, KeyThatIsTooMuchLeavesASlowUpstreamOnce)
 {
   for (unsigned seed = 1; seed <= 10; ++seed) {
     BusyService service({ 0.1, 0.1, 0.1, 0.1, 0.1, 0.1 }, seed);
@@ -488,7 +494,7 @@
 // Busy keys lie side by side. Two that are each too much for any upstream share
 // what their owner can run; one of them goes to another upstream. It may have
 // been in a slice before the first reports showed how busy it is.
-TEST(Granter, TwoKeysThatAreTooMuchGetDifferentOwners)
+TEST(RangeAssigner, TwoKeysThatAreTooMuchGetDifferentOwners)
 {
   const std::vector<uint32_t> hot{ BusyService::kHotKey,
                                    BusyService::kHotKey + 1 };
@@ -503,13 +509,13 @@
   }
 }
 
-TEST(Granter, BusyHolderGivesKeysAway)
+TEST(RangeAssigner, BusyHolderGivesKeysAway)
 {
-  Leader leader;
-  Settle(leader);
+  SimulatedLeader leader;
+  AssignKeysToTwo(leader);
   MakeBusy(leader, 20);
-  leader.Answer(From("b", 8));
-  const auto grants = leader.Answer(From("a", 8));
+  leader.HandleHeartbeat(HeartbeatFrom("b", 8));
+  const auto grants = leader.HandleHeartbeat(HeartbeatFrom("a", 8));
   ASSERT_TRUE(HoldsBack(leader));
   ASSERT_TRUE(grants);
   for (const GrantedRange& range : grants->ranges) {
@@ -521,16 +527,16 @@
 // A busy holder was told to release keys; then another host leads. It must go
 // on leaving these keys out: renewed but held back, they would be served by
 // nobody for good.
-TEST(Granter, NewLeaderGoesOnWithKeysHeldBack)
+TEST(RangeAssigner, NewLeaderGoesOnWithKeysHeldBack)
 {
-  Leader leader;
-  Settle(leader);
+  SimulatedLeader leader;
+  AssignKeysToTwo(leader);
   MakeBusy(leader, 20);
-  leader.Answer(From("b", 8));
-  leader.Answer(From("a", 8));
+  leader.HandleHeartbeat(HeartbeatFrom("b", 8));
+  leader.HandleHeartbeat(HeartbeatFrom("a", 8));
   ASSERT_TRUE(HoldsBack(leader));
-  leader.Replace();
-  const auto grants = leader.Answer(From("a", 9));
+  leader.FailOver();
+  const auto grants = leader.HandleHeartbeat(HeartbeatFrom("a", 9));
   ASSERT_TRUE(grants);
   for (const GrantedRange& range : grants->ranges) {
     EXPECT_FALSE(
@@ -541,20 +547,20 @@
 // A heartbeat reports the release of keys that were held back. Moves planned by
 // the state before that release would hold the same keys back again, of an
 // instance that no longer has them, and they would have no owner for good.
-TEST(Granter, HeartbeatThatReleasesPlansNoMoves)
+TEST(RangeAssigner, HeartbeatThatReleasesPlansNoMoves)
 {
-  Leader leader;
-  Settle(leader);
+  SimulatedLeader leader;
+  AssignKeysToTwo(leader);
   MakeBusy(leader, 20);
-  leader.Answer(From("b", 8));
-  leader.Answer(From("a", 8));
-  Heartbeat release = From("a", 9);
+  leader.HandleHeartbeat(HeartbeatFrom("b", 8));
+  leader.HandleHeartbeat(HeartbeatFrom("a", 8));
+  Heartbeat release = HeartbeatFrom("a", 9);
   for (const auto& segment : leader.state.Ranges("board")->Segments()) {
     if (segment.held_back()) {
       release.released.push_back({ { segment.from(), segment.to() }, "h" });
     }
   }
-  leader.Answer(release);
+  leader.HandleHeartbeat(release);
   EXPECT_FALSE(HoldsBack(leader));
 }
 
--- a/src/librattandyke/gateway/granter_test.cpp
+++ b/src/librattandyke/gateway/range_assigner_test.cpp
@@ -1,4 +1,4 @@
-#include "gateway/granter.h"
+#include "gateway/range_assigner.h"
 
 #include <deque>
 #include <random>
@@ -6,7 +6,7 @@
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
-#include "testing/granter_leader.h"
+#include "testing/simulated_leader.h"
 
 namespace rattandyke::gateway {
 namespace {
@@ -14,13 +14,15 @@
 using namespace testing; // NOLINT(google-build-using-namespace)
 using std::chrono::milliseconds;
 
-TEST(Granter, FirstKeysWaitForAllInstancesAndAreShared)
+TEST(RangeAssigner, FirstKeysWaitForAllInstancesAndAreShared)
 {
-  Leader leader;
-  EXPECT_EQ(KeysOf(leader.Answer(From("a", 1))), 0U);
-  Settle(leader);
-  const uint32_t first = KeysOf(leader.Answer(From("a", 5)));
-  const uint32_t second = KeysOf(leader.Answer(From("b", 5)));
+  SimulatedLeader leader;
+  EXPECT_EQ(CountKeys(leader.HandleHeartbeat(HeartbeatFrom("a", 1))), 0U);
+  AssignKeysToTwo(leader);
+  const uint32_t first =
+    CountKeys(leader.HandleHeartbeat(HeartbeatFrom("a", 5)));
+  const uint32_t second =
+    CountKeys(leader.HandleHeartbeat(HeartbeatFrom("b", 5)));
   EXPECT_EQ(first + second, kKeyCount);
   EXPECT_GT(first, kKeyCount / 3);
   EXPECT_GT(second, kKeyCount / 3);
@@ -29,128 +31,130 @@
 // An instance is cut off from the control hosts and goes on serving until its
 // hold runs out by its own clock, which may be 2% slow. Its keys must not have
 // another owner before, and must have one soon after.
-TEST(Granter, SilentHoldersKeysAreFreeOnlyOnceItsHoldIsOver)
+TEST(RangeAssigner, SilentHoldersKeysAreFreeOnlyOnceItsHoldIsOver)
 {
-  Leader leader;
-  Settle(leader);
+  SimulatedLeader leader;
+  AssignKeysToTwo(leader);
   const uint32_t key = leader.state.Ranges("board")->Segments().front().from();
   const std::string owner = leader.HolderOf(key);
   const std::string other = owner == "a" ? "b" : "a";
-  leader.Answer(From(owner, 10));
+  leader.HandleHeartbeat(HeartbeatFrom(owner, 10));
   const Instant renewed = leader.now;
   uint64_t sequence = 10;
   while (leader.HolderOf(key) == owner) {
-    leader.Pass(milliseconds{ 100 });
-    leader.Answer(From(other, ++sequence));
+    leader.AdvanceTime(milliseconds{ 100 });
+    leader.HandleHeartbeat(HeartbeatFrom(other, ++sequence));
   }
-  EXPECT_GE(leader.now - renewed, kHold * 100 / 98);
-  EXPECT_LE(leader.now - renewed, kHold * 100 / 98 + milliseconds{ 400 });
+  EXPECT_GE(leader.now - renewed, kLeaseDuration * 100 / 98);
+  EXPECT_LE(leader.now - renewed,
+            kLeaseDuration * 100 / 98 + milliseconds{ 400 });
 }
 
 // A new leader does not know when its predecessor last renewed a holder. It
 // must wait as if that had been in the instant before.
-TEST(Granter, NewLeaderWaitsTheLongestHold)
+TEST(RangeAssigner, NewLeaderWaitsTheLongestHold)
 {
-  Leader leader;
-  Settle(leader);
-  leader.Pass(kHold - milliseconds{ 500 });
-  leader.Replace();
+  SimulatedLeader leader;
+  AssignKeysToTwo(leader);
+  leader.AdvanceTime(kLeaseDuration - milliseconds{ 500 });
+  leader.FailOver();
   const std::string owner = leader.HolderOf(0);
-  leader.Pass(kHold);
+  leader.AdvanceTime(kLeaseDuration);
   EXPECT_EQ(leader.HolderOf(0), owner);
-  leader.Pass(kHold / 10);
+  leader.AdvanceTime(kLeaseDuration / 10);
   EXPECT_EQ(leader.HolderOf(0), "");
 }
 
 // A heartbeat that was held up in the network arrives after a later one. What
 // it says is old; an answer to it must renew nothing.
-TEST(Granter, LateHeartbeatRenewsNothing)
+TEST(RangeAssigner, LateHeartbeatRenewsNothing)
 {
-  Leader leader;
-  Settle(leader);
-  EXPECT_TRUE(leader.Answer(From("a", 9)));
-  EXPECT_FALSE(leader.Answer(From("a", 8)));
+  SimulatedLeader leader;
+  AssignKeysToTwo(leader);
+  EXPECT_TRUE(leader.HandleHeartbeat(HeartbeatFrom("a", 9)));
+  EXPECT_FALSE(leader.HandleHeartbeat(HeartbeatFrom("a", 8)));
 }
 
 // A release is reported, and the keys are granted to the same instance again.
 // The report arrives a second time, by way of a new leader that knows no
 // sequence. It speaks of the earlier hold and must free nothing.
-TEST(Granter, ReleaseFromBeforeTheGrantFreesNothing)
+TEST(RangeAssigner, ReleaseFromBeforeTheGrantFreesNothing)
 {
-  Leader leader;
-  Settle(leader);
-  Heartbeat release = From("a", 6);
+  SimulatedLeader leader;
+  AssignKeysToTwo(leader);
+  Heartbeat release = HeartbeatFrom("a", 6);
   release.released = { { { 0, kMaxKey }, "h" } };
-  leader.Answer(release);
+  leader.HandleHeartbeat(release);
   EXPECT_NE(leader.HolderOf(0), "a");
-  leader.Pass(milliseconds{ 100 });
+  leader.AdvanceTime(milliseconds{ 100 });
   // Only "a" is left: "b" leaves.
-  Heartbeat leaving = From("b", 6);
+  Heartbeat leaving = HeartbeatFrom("b", 6);
   leaving.draining = true;
-  leader.Answer(leaving);
+  leader.HandleHeartbeat(leaving);
   leaving.sequence = 7;
   leaving.released = { { { 0, kMaxKey }, "h" } };
-  leader.Answer(leaving);
-  leader.Pass(std::chrono::seconds{ 2 });
+  leader.HandleHeartbeat(leaving);
+  leader.AdvanceTime(std::chrono::seconds{ 2 });
   for (uint64_t sequence = 7; sequence < 12; ++sequence) {
-    leader.Answer(From("a", sequence));
-    leader.Pass(kInterval);
+    leader.HandleHeartbeat(HeartbeatFrom("a", sequence));
+    leader.AdvanceTime(kHeartbeatInterval);
   }
   ASSERT_EQ(leader.HolderOf(0), "a");
-  leader.Replace();
-  leader.Answer(release);
+  leader.FailOver();
+  leader.HandleHeartbeat(release);
   EXPECT_EQ(leader.HolderOf(0), "a");
 }
 
 // A process crashes and a new one starts at its address. The old one has ended,
 // so its keys can be given away at once; but a single heartbeat may be one of
 // an even older process that was held up, while the present one lives.
-TEST(Granter, OneHeartbeatAtAnAddressDoesNotEndTheInstanceThere)
+TEST(RangeAssigner, OneHeartbeatAtAnAddressDoesNotEndTheInstanceThere)
 {
-  Leader leader;
-  Settle(leader);
+  SimulatedLeader leader;
+  AssignKeysToTwo(leader);
   const std::string owner = leader.HolderOf(0);
-  Heartbeat stranger = From("x", 3);
-  stranger.address = From(owner, 1).address;
-  leader.Answer(stranger);
+  Heartbeat stranger = HeartbeatFrom("x", 3);
+  stranger.address = HeartbeatFrom(owner, 1).address;
+  leader.HandleHeartbeat(stranger);
   EXPECT_EQ(leader.HolderOf(0), owner);
-  leader.Pass(kInterval);
-  leader.Answer(From(owner, 9));
+  leader.AdvanceTime(kHeartbeatInterval);
+  leader.HandleHeartbeat(HeartbeatFrom(owner, 9));
   stranger.sequence = 4;
-  leader.Answer(stranger);
+  leader.HandleHeartbeat(stranger);
   EXPECT_EQ(leader.HolderOf(0), owner);
 }
 
 // The old one sends nothing more, but where lives are not told that is no proof
 // that it has ended: its keys stay its own until its hold is over, and no
 // longer.
-TEST(Granter, NewProcessAtAnAddressEndsTheOldOneOnceItsHoldIsOver)
+TEST(RangeAssigner, NewProcessAtAnAddressEndsTheOldOneOnceItsHoldIsOver)
 {
-  Leader leader;
-  Settle(leader);
+  SimulatedLeader leader;
+  AssignKeysToTwo(leader);
   const std::string owner = leader.HolderOf(0);
-  leader.Answer(From(owner, 9));
+  leader.HandleHeartbeat(HeartbeatFrom(owner, 9));
   const Instant renewed = leader.now;
-  Heartbeat successor = From("x", 1);
-  successor.address = From(owner, 1).address;
+  Heartbeat successor = HeartbeatFrom("x", 1);
+  successor.address = HeartbeatFrom(owner, 1).address;
   while (!leader.state.HasEnded(owner, 0)) {
-    ASSERT_LE(leader.now - renewed, kHold * 100 / 98 + milliseconds{ 400 });
-    leader.Pass(milliseconds{ 100 });
-    leader.Answer(successor);
+    ASSERT_LE(leader.now - renewed,
+              kLeaseDuration * 100 / 98 + milliseconds{ 400 });
+    leader.AdvanceTime(milliseconds{ 100 });
+    leader.HandleHeartbeat(successor);
     ++successor.sequence;
   }
-  EXPECT_GE(leader.now - renewed, kHold * 100 / 98);
+  EXPECT_GE(leader.now - renewed, kLeaseDuration * 100 / 98);
   EXPECT_NE(leader.HolderOf(0), owner);
-  EXPECT_FALSE(leader.Answer(From(owner, 99)));
+  EXPECT_FALSE(leader.HandleHeartbeat(HeartbeatFrom(owner, 99)));
 }
 
-TEST(Granter, DrainingInstanceIsLeftNothing)
+TEST(RangeAssigner, DrainingInstanceIsLeftNothing)
 {
-  Leader leader;
-  Settle(leader);
-  Heartbeat leaving = From("a", 9);
+  SimulatedLeader leader;
+  AssignKeysToTwo(leader);
+  Heartbeat leaving = HeartbeatFrom("a", 9);
   leaving.draining = true;
-  const auto grants = leader.Answer(leaving);
+  const auto grants = leader.HandleHeartbeat(leaving);
   ASSERT_TRUE(grants);
   EXPECT_TRUE(grants->ranges.empty());
 }
@@ -176,7 +180,7 @@
 
   Heartbeat Beat()
   {
-    Heartbeat heartbeat = From(id, ++sequence);
+    Heartbeat heartbeat = HeartbeatFrom(id, ++sequence);
     heartbeat.life = life;
     heartbeat.released = released;
     return heartbeat;
@@ -208,7 +212,7 @@
       }
     }
     held = aGrants->ranges;
-    ends = aSent + aGrants->holdTime * 100 / 98;
+    ends = aSent + aGrants->leaseDuration * 100 / 98;
     // What is reported released may not be held any more.
     std::erase_if(released, [&](const ReleasedRange& aReleased) {
       return std::any_of(held.begin(), held.end(), [&](const auto& aRange) {
@@ -224,9 +228,9 @@
 // heartbeats of processes that ran there before come late, leaders change, and
 // loads make keys move. At no moment may two upstreams hold the same key, and a
 // key that changes hands must do so with a higher fence.
-RC_GTEST_PROP(Granter, NoKeyHasTwoOwnersInAnySchedule, ())
+RC_GTEST_PROP(RangeAssigner, NoKeyHasTwoOwnersInAnySchedule, ())
 {
-  Leader leader;
+  SimulatedLeader leader;
   std::mt19937_64 random(*rc::gen::arbitrary<uint64_t>());
   const auto chance = [&](unsigned aPercent) {
     return random() % 100 < aPercent;
@@ -258,8 +262,8 @@
       if (chance(10)) {
         heldUp.emplace_back(which, heartbeat);
       } else {
-        leader.Pass(milliseconds(random() % 30));
-        const auto grants = leader.Answer(heartbeat);
+        leader.AdvanceTime(milliseconds(random() % 30));
+        const auto grants = leader.HandleHeartbeat(heartbeat);
         if (!chance(15)) {
           const auto delay = milliseconds(chance(20) ? random() % 900 : 5);
           answers.push_back(
@@ -268,17 +272,17 @@
       }
     }
     if (!heldUp.empty() && chance(10)) {
-      leader.Answer(heldUp.front().second);
+      leader.HandleHeartbeat(heldUp.front().second);
       heldUp.pop_front();
     }
     if (chance(10)) {
-      Heartbeat late = From("old", ++earlier);
-      late.address = From(holders.front().id, 1).address;
+      Heartbeat late = HeartbeatFrom("old", ++earlier);
+      late.address = HeartbeatFrom(holders.front().id, 1).address;
       late.life = kEarlierLife;
-      leader.Answer(late);
+      leader.HandleHeartbeat(late);
     }
     if (chance(3)) {
-      leader.Replace();
+      leader.FailOver();
     }
     if (chance(3)) {
       holder = { holder.id + "x", kFirstLife, 0, true, {}, {}, {} };
@@ -291,9 +295,9 @@
       load.set_service("board");
       load.add_buckets(static_cast<uint32_t>(random() % 300));
       load.add_requests(100);
-      leader.granter->AddLoad(load);
+      leader.rangeAssigner->AddLoad(load);
     }
-    leader.Pass(milliseconds(random() % 250));
+    leader.AdvanceTime(milliseconds(random() % 250));
     for (auto at = answers.begin(); at != answers.end();) {
       if (at->arrives > leader.now) {
         ++at;
@@ -329,21 +333,21 @@
 
 // Guards against keys that nobody serves for ever: a grant was committed, its
 // heartbeat got no answer, and the holder crashed before the next one.
-TEST(Granter, KeysOfAGrantThatWasNeverRenewedAreFreed)
+TEST(RangeAssigner, KeysOfAGrantThatWasNeverRenewedAreFreed)
 {
-  Leader leader;
-  leader.Answer(From("a", 1));
-  leader.Pass(kInterval * 3 / 2);
-  const Heartbeat heartbeat = From("b", 1);
+  SimulatedLeader leader;
+  leader.HandleHeartbeat(HeartbeatFrom("a", 1));
+  leader.AdvanceTime(kHeartbeatInterval * 3 / 2);
+  const Heartbeat heartbeat = HeartbeatFrom("b", 1);
   leader.Commit(
-    leader.granter->OnHeartbeat(heartbeat, leader.state, leader.now));
+    leader.rangeAssigner->OnHeartbeat(heartbeat, leader.state, leader.now));
   const auto grant =
-    leader.granter->PlanGrant(heartbeat, leader.state, leader.now);
+    leader.rangeAssigner->PlanGrant(heartbeat, leader.state, leader.now);
   ASSERT_TRUE(grant);
   leader.Commit({ *grant });
   const uint32_t key = grant->grant_ranges().ranges(0).from();
   EXPECT_EQ(leader.HolderOf(key), "b");
-  leader.Pass(kHold);
+  leader.AdvanceTime(kLeaseDuration);
   EXPECT_NE(leader.HolderOf(key), "b");
 }
 
--- a/src/librattandyke/gateway/range_table.cpp
+++ b/src/librattandyke/gateway/range_table.cpp
@@ -168,7 +168,7 @@
 }
 
 void
-RangeTable::HoldBack(const wire::HoldBackRanges& aCommand)
+RangeTable::Revoke(const wire::HoldBackRanges& aCommand)
 {
   for (const wire::KeyRange& range : aCommand.ranges()) {
     ChangeHeld(range, aCommand.holder(), [](wire::RangeSegment& aSegment) {
--- a/src/librattandyke/gateway/range_table.h
+++ b/src/librattandyke/gateway/range_table.h
@@ -49,7 +49,7 @@
   Result<void> Grant(const wire::GrantRanges& aGrant, uint64_t aFence);
 
   /// Marks keys that their holder is about to release.
-  void HoldBack(const wire::HoldBackRanges& aCommand);
+  void Revoke(const wire::HoldBackRanges& aCommand);
 
   /// Takes keys from a holder; keys that it does not hold stay as they are.
   void Free(const wire::FreeRanges& aFree);
--- a/src/librattandyke/gateway/range_table_test.cpp
+++ b/src/librattandyke/gateway/range_table_test.cpp
@@ -74,7 +74,7 @@
 {
   RangeTable ranges;
   ASSERT_TRUE(ranges.Grant(GrantTo("a", 0, 99), 5));
-  ranges.HoldBack(HoldBackOf("a", 40, 59));
+  ranges.Revoke(HoldBackOf("a", 40, 59));
   EXPECT_FALSE(ranges.Find(39).held_back());
   EXPECT_TRUE(ranges.Find(40).held_back());
   EXPECT_TRUE(ranges.Find(59).held_back());
@@ -90,7 +90,7 @@
 {
   RangeTable ranges;
   ASSERT_TRUE(ranges.Grant(GrantTo("a", 0, 99), 5));
-  ranges.HoldBack(HoldBackOf("b", 0, 99));
+  ranges.Revoke(HoldBackOf("b", 0, 99));
   EXPECT_FALSE(ranges.Find(0).held_back());
 }
 
@@ -115,7 +115,7 @@
         ranges.Free(FreeOf(holder, from, to, "h"));
         break;
       default:
-        ranges.HoldBack(HoldBackOf(holder, from, to));
+        ranges.Revoke(HoldBackOf(holder, from, to));
         break;
     }
     uint32_t next = 0;
@@ -150,7 +150,7 @@
         static_cast<void>(table.Grant(GrantTo(holder, from, to), ++fence));
         break;
       case 2:
-        table.HoldBack(HoldBackOf(holder, from, to));
+        table.Revoke(HoldBackOf(holder, from, to));
         break;
       default:
         table.Free(FreeOf(holder, from, to));
--- a/src/librattandyke/gateway/state.cpp
+++ b/src/librattandyke/gateway/state.cpp
@@ -183,7 +183,7 @@
 Result<void>
 State::Apply(const wire::HoldBackRanges& aCommand)
 {
-  mRanges[aCommand.service()].HoldBack(aCommand);
+  mRanges[aCommand.service()].Revoke(aCommand);
   return {};
 }
 
--- a/src/testing/granter_leader.h
+++ b/src/testing/simulated_leader.h
@@ -5,23 +5,24 @@
 #include <string>
 #include <vector>
 
-#include "gateway/granter.h"
+#include "gateway/range_assigner.h"
 
 namespace rattandyke::gateway::testing {
 
-inline constexpr Duration kHold = std::chrono::milliseconds{ 4500 };
-inline constexpr Duration kInterval = std::chrono::milliseconds{ 1000 };
-inline constexpr Granter::Options kOptions{ kHold,
-                                            kInterval,
-                                            std::chrono::seconds{ 30 } };
+inline constexpr Duration kLeaseDuration = std::chrono::milliseconds{ 4500 };
+inline constexpr Duration kHeartbeatInterval =
+  std::chrono::milliseconds{ 1000 };
+inline constexpr RangeAssigner::Options kOptions{ kLeaseDuration,
+                                                  kHeartbeatInterval,
+                                                  std::chrono::seconds{ 30 } };
 
 /// A leader and its state; commands are committed at once.
-class Leader
+class SimulatedLeader
 {
 public:
-  Leader()
+  SimulatedLeader()
   {
-    granter.emplace(kOptions);
+    rangeAssigner.emplace(kOptions);
     wire::GatewayCommand command;
     wire::ServiceItem* service = command.mutable_change_items()->add_services();
     service->set_name("board");
@@ -29,7 +30,7 @@
     service->set_version(1);
     service->set_source("board");
     Commit({ command });
-    granter->BecomeLeader(state, now);
+    rangeAssigner->OnElected(state, now);
   }
 
   void Commit(const std::vector<wire::GatewayCommand>& aCommands)
@@ -40,31 +41,31 @@
   }
 
   /// As a control host answers a heartbeat.
-  std::optional<Grants> Answer(const Heartbeat& aHeartbeat)
+  std::optional<Grants> HandleHeartbeat(const Heartbeat& aHeartbeat)
   {
-    if (!granter->Check(aHeartbeat, state)) {
+    if (!rangeAssigner->Check(aHeartbeat, state)) {
       return std::nullopt;
     }
-    Commit(granter->OnHeartbeat(aHeartbeat, state, now));
-    if (const auto grant = granter->PlanGrant(aHeartbeat, state, now)) {
+    Commit(rangeAssigner->OnHeartbeat(aHeartbeat, state, now));
+    if (const auto grant = rangeAssigner->PlanGrant(aHeartbeat, state, now)) {
       Commit({ *grant });
     }
-    return granter->Renew(aHeartbeat, state, now);
+    return rangeAssigner->RenewLease(aHeartbeat, state, now);
   }
 
-  void Pass(Duration aTime)
+  void AdvanceTime(Duration aTime)
   {
     for (const Instant end = now + aTime; now < end;) {
-      now += std::min<Duration>(Granter::kTick, end - now);
-      Commit(granter->Tick(state, now));
+      now += std::min<Duration>(RangeAssigner::kTick, end - now);
+      Commit(rangeAssigner->Tick(state, now));
     }
   }
 
   /// Another host takes over: it knows the state and nothing else.
-  void Replace()
+  void FailOver()
   {
-    granter.emplace(kOptions);
-    granter->BecomeLeader(state, now);
+    rangeAssigner.emplace(kOptions);
+    rangeAssigner->OnElected(state, now);
   }
 
   std::string HolderOf(uint32_t aKey) const
@@ -76,11 +77,11 @@
   Instant now{ std::chrono::hours{ 1 } };
   uint64_t index = 0;
   State state;
-  std::optional<Granter> granter;
+  std::optional<RangeAssigner> rangeAssigner;
 };
 
 inline Heartbeat
-From(const std::string& aInstance, uint64_t aSequence)
+HeartbeatFrom(const std::string& aInstance, uint64_t aSequence)
 {
   Heartbeat heartbeat;
   heartbeat.instance = aInstance;
@@ -92,7 +93,7 @@
 }
 
 inline uint32_t
-KeysOf(const std::optional<Grants>& aGrants)
+CountKeys(const std::optional<Grants>& aGrants)
 {
   uint32_t keys = 0;
   if (aGrants) {
@@ -105,13 +106,13 @@
 
 /// Announces two instances until they share all keys.
 inline void
-Settle(Leader& aLeader)
+AssignKeysToTwo(SimulatedLeader& aLeader)
 {
   for (uint64_t sequence = 1; sequence <= 4; ++sequence) {
-    aLeader.Answer(From("a", sequence));
-    aLeader.Pass(kInterval / 2);
-    aLeader.Answer(From("b", sequence));
-    aLeader.Pass(kInterval / 2);
+    aLeader.HandleHeartbeat(HeartbeatFrom("a", sequence));
+    aLeader.AdvanceTime(kHeartbeatInterval / 2);
+    aLeader.HandleHeartbeat(HeartbeatFrom("b", sequence));
+    aLeader.AdvanceTime(kHeartbeatInterval / 2);
   }
 }
 
