--- a/src/librattandyke/gateway/cold_upstream_test.cpp
+++ b/src/librattandyke/gateway/cold_upstream_test.cpp
@@ -84,19 +84,19 @@
         request.instance = keyed ? "a" : "";
         request.maxWait = milliseconds{ 300 };
         request.maxHold = milliseconds{ 1000 };
-        Take(aHome.Acquire(request, now));
+        HandleAnswers(aHome.Acquire(request, now));
       }
       while (!mInFlight.empty() && mInFlight.front().first <= now) {
         const SlotKey key = mInFlight.front().second;
         mInFlight.pop_front();
-        Take(aHome.Release(
+        HandleAnswers(aHome.Release(
           key, AttemptOutcome::Answered, milliseconds{ 40 }, now));
       }
-      Take(aHome.Tick(now));
+      HandleAnswers(aHome.Tick(now));
     }
   }
 
-  void Take(const std::vector<SlotAnswer>& aAnswers)
+  void HandleAnswers(const std::vector<SlotAnswer>& aAnswers)
   {
     for (const SlotAnswer& answer : aAnswers) {
       if (const auto* granted = std::get_if<SlotGranted>(&answer)) {
--- a/src/librattandyke/gateway/load_report.h
+++ b/src/librattandyke/gateway/load_report.h
@@ -5,8 +5,8 @@
 
 namespace rattandyke::gateway {
 
-/// Load that an upstream reports in a header of its answer. Valid for the
-/// moment at which the upstream sent the answer.
+/// Load that an upstream reports in a header of its response. Valid for the
+/// moment at which the upstream sent the response.
 struct LoadReport
 {
   /// Requests that the upstream runs.
--- a/src/librattandyke/gateway/slot_broker.cpp
+++ b/src/librattandyke/gateway/slot_broker.cpp
@@ -18,17 +18,17 @@
 /// A request is refused at once if its expected wait exceeds this multiple of
 /// its longest wait: it would only be refused later.
 constexpr double kMaxWaitFactor = 1.3;
-/// Time for an answer to reach its caller through an entry host with a tenth of
-/// a core.
+/// Time for a response to reach its caller through an entry host with a tenth
+/// of a core.
 constexpr milliseconds kReturnTime{ 20 };
 /// Fraction of its longest wait for which a request waits even for a slow
 /// upstream: the expected response time is an average, and many responses are
 /// faster.
 constexpr double kMinWaitFraction = 0.25;
-/// A late answer is worth less than one within the latency objective, and more
-/// than none. A request waits for a late answer only if it is expected to start
-/// within this fraction of the time left for that: a caller that is refused at
-/// the end of that time cannot retry.
+/// A late response is worth less than one within the latency objective, and
+/// more than none. A request waits for a late response only if it is expected
+/// to start within this fraction of the time left for that: a caller that is
+/// refused at the end of that time cannot retry.
 constexpr double kMaxLateWaitFraction = 0.35;
 /// Minimum fraction of an upstream's capacity that is assumed to be left for
 /// late requests.
@@ -173,10 +173,10 @@
 }
 
 /// @return the time for which a request waits ahead of late requests: as long
-/// as its answer can meet the latency objective. After that it waits behind the
-/// requests that can. If it kept its place, a request whose answer can only be
-/// late would take a slot from one whose answer would be on time, and an
-/// overloaded slow upstream would answer no request on time.
+/// as its response can meet the latency objective. After that it waits behind
+/// the requests that can. If it kept its place, a request whose response can
+/// only be late would take a slot from one whose response would be on time, and
+/// an overloaded slow upstream would answer no request on time.
 Duration
 SlotBroker::MaxOnTimeWait(const SlotRequest& aRequest) const
 {
@@ -188,7 +188,7 @@
                     aRequest.maxWait);
 }
 
-/// @return the time for which a request may wait if its answer may miss the
+/// @return the time for which a request may wait if its response may miss the
 /// latency objective, but not the deadline.
 Duration
 SlotBroker::MaxLateWait(const SlotRequest& aRequest) const
@@ -228,7 +228,7 @@
 }
 
 /// @return the expected wait of a late request. Late requests get the capacity
-/// that requests whose answers may be on time leave.
+/// that requests whose responses may be on time leave.
 Duration
 SlotBroker::ExpectedLateWait(const SlotRequest& aRequest, Instant aNow) const
 {
@@ -241,7 +241,7 @@
 double
 SlotBroker::Demand::RequestsAt(Instant aNow) const
 {
-  const std::chrono::duration<double> elapsed = aNow - at;
+  const std::chrono::duration<double> elapsed = aNow - updatedAt;
   return requests * std::exp(-elapsed.count() / kDemandTimeConstant);
 }
 
@@ -250,7 +250,7 @@
 {
   Demand& demand = mDemand[TargetOf(aRequest)];
   demand.requests = demand.RequestsAt(aNow) + 1;
-  demand.at = aNow;
+  demand.updatedAt = aNow;
 }
 
 double
@@ -416,7 +416,7 @@
     ExpireWaits(queue, aNow);
   }
   std::erase_if(mDemand, [&](const auto& aItem) {
-    return aNow - aItem.second.at >= Duration(kDemandRetention);
+    return aNow - aItem.second.updatedAt >= Duration(kDemandRetention);
   });
   std::set<std::string> freed;
   for (auto at = mGranted.begin(); at != mGranted.end();) {
--- a/src/librattandyke/gateway/slot_broker.h
+++ b/src/librattandyke/gateway/slot_broker.h
@@ -39,7 +39,7 @@
   uint32_t priority = 0;
   /// Longest time to wait for a slot.
   Duration maxWait{};
-  /// Remaining time in which an answer meets the latency objective; zero: not
+  /// Remaining time in which a response meets the latency objective; zero: not
   /// specified.
   Duration timeToObjective{};
   /// Longest time to keep the slot.
@@ -147,19 +147,22 @@
   static constexpr Duration kTick = std::chrono::milliseconds{ 20 };
 
 private:
+  /// A request that waits for a slot.
   struct QueuedRequest
   {
     SlotRequest request;
     /// End of the current wait.
     Instant waitUntil{};
-    /// Latest start at which the answer is expected before the caller's
+    /// Latest start at which the response is expected before the caller's
     /// deadline.
     Instant lateWaitUntil{};
   };
 
+  /// A slot in use.
   struct GrantedSlot
   {
     std::string instance;
+    /// Time at which the slot is freed even if it has not been released.
     Instant expiresAt{};
     UpstreamSet::AttemptStart start;
   };
@@ -188,7 +191,7 @@
   struct Demand
   {
     double requests = 0;
-    Instant at{};
+    Instant updatedAt{};
     double RequestsAt(Instant aNow) const;
   };
 
--- a/src/librattandyke/gateway/slot_broker_test.cpp
+++ b/src/librattandyke/gateway/slot_broker_test.cpp
@@ -82,7 +82,7 @@
 {
   State state = StateWith({ "a" }, 1);
   uint64_t index = state.Applied().value;
-  const auto put = [&](const std::string& aService, uint64_t aLife) {
+  const auto put = [&](const std::string& aService, uint64_t aIncarnation) {
     wire::GatewayCommand command;
     wire::UpstreamInstance* instance =
       command.mutable_put_instance()->mutable_instance();
@@ -90,7 +90,7 @@
     instance->set_service(aService);
     instance->set_address("10.0.0.2:80");
     instance->set_slots(1);
-    instance->set_life(aLife);
+    instance->set_life(aIncarnation);
     static_cast<void>(state.Apply(command, LogIndex{ ++index }));
   };
   put("other", 1);
@@ -127,7 +127,7 @@
   EXPECT_GE(refused, 10U);
 }
 
-// A request has waited for its longest wait. If a late answer is unlikely to
+// A request has waited for its longest wait. If a late response is unlikely to
 // reach its caller as well, it is refused then.
 TEST_F(SlotBrokerTest, RefusesAfterLongestWait)
 {
@@ -142,9 +142,9 @@
 }
 
 // A request has waited for its longest wait, but its deadline is far away and
-// the upstream has spare capacity. The request waits on for a late answer,
-// behind requests that arrived later and can still be on time, until no answer
-// can arrive before its deadline.
+// the upstream has spare capacity. The request waits on for a late response,
+// behind requests that arrived later and can still be on time, until no
+// response can arrive before its deadline.
 TEST_F(SlotBrokerTest, LateRequestWaitsBehindOnTimeRequests)
 {
   LoadState({ "a" }, 1);
@@ -250,7 +250,7 @@
   std::map<uint64_t, std::string> granted;
   std::set<uint64_t> answered;
   uint64_t ticket = 0;
-  const auto take = [&](const std::vector<SlotAnswer>& aAnswers) {
+  const auto handle = [&](const std::vector<SlotAnswer>& aAnswers) {
     for (const SlotAnswer& answer : aAnswers) {
       if (const auto* slot = std::get_if<SlotGranted>(&answer)) {
         RC_ASSERT(answered.insert(slot->key.ticket).second);
@@ -263,23 +263,23 @@
   };
   for (int step = 0; step < 300; ++step) {
     if (random() % 2 == 0) {
-      take(broker.Acquire(Request(++ticket, random() % 3), now));
+      handle(broker.Acquire(Request(++ticket, random() % 3), now));
     } else if (!granted.empty()) {
-      const auto [done, instance] = *granted.begin();
+      const auto [ended, instance] = *granted.begin();
       granted.erase(granted.begin());
       --running[instance];
       const auto end = static_cast<AttemptOutcome>(random() % 6);
-      take(broker.Release({ 1, done }, end, milliseconds{ 40 }, now));
+      handle(broker.Release({ 1, ended }, end, milliseconds{ 40 }, now));
     }
     now += milliseconds(random() % 20);
-    take(broker.Tick(now));
+    handle(broker.Tick(now));
     // Requests end before their slots expire.
     while (!granted.empty() && ticket - granted.begin()->first > 40) {
-      const auto [done, instance] = *granted.begin();
+      const auto [ended, instance] = *granted.begin();
       granted.erase(granted.begin());
       --running[instance];
-      take(broker.Release(
-        { 1, done }, AttemptOutcome::Answered, milliseconds{ 40 }, now));
+      handle(broker.Release(
+        { 1, ended }, AttemptOutcome::Answered, milliseconds{ 40 }, now));
     }
   }
 }
--- a/src/librattandyke/gateway/slot_coordinator.cpp
+++ b/src/librattandyke/gateway/slot_coordinator.cpp
@@ -22,14 +22,15 @@
 /// demand: the reply is then more likely delayed in a queue than lost, and the
 /// upstream is likely to have room.
 constexpr milliseconds kShortHomeTimeout{ 50 };
-/// Sent to a caller if the home entry of an upstream in demand does not answer.
+/// Retry-after of a request that may not bypass an unresponsive home entry.
 constexpr milliseconds kBusyRetryAfter{ 150 };
 /// A timer that fires this late indicates that this host was paused.
 constexpr milliseconds kPauseThreshold{ 10 };
 /// Time for which a home entry that declined gets no slot requests: it soon has
 /// the state.
 constexpr milliseconds kDeclinedBackoff{ 60 };
-/// Time for which an unresponsive home entry gets no slot requests.
+/// Time for which an unresponsive home entry gets no slot requests; also the
+/// retry-after of a request whose slot was not granted in time.
 constexpr milliseconds kUnresponsiveBackoff{ 400 };
 
 milliseconds
@@ -163,7 +164,8 @@
   }
 }
 
-/// Removes the sessions of entries that have left the state.
+/// Removes the sessions of entries that have left the state, unless they have
+/// requests here.
 void
 SlotCoordinator::RemoveStaleRequesters(const State& aState)
 {
@@ -184,7 +186,7 @@
   co_await aPending->context->WakeTimer().async_wait(kAwait);
 }
 
-/// Waits for the first reply of the home entry.
+/// Waits until the home entry's first reply, but no longer than aUntil.
 asio::awaitable<void>
 SlotCoordinator::AwaitFirstReply(std::shared_ptr<Pending> aPending,
                                  Instant aUntil)
@@ -250,7 +252,7 @@
       << kUnresponsiveBackoff.count() << " ms";
     co_return;
   }
-  // The home entry ends the wait, at the latest when no answer can arrive
+  // The home entry ends the wait, at the latest when no response can arrive
   // before the deadline.
   const Instant end = sentAt + aRequest.maxHold;
   while (!aPending->outcome && !aPending->context->IsCancelled() &&
@@ -500,12 +502,12 @@
 void
 SlotCoordinator::OnSlotRelease(const wire::SlotDone& aDone)
 {
-  const auto end =
+  const auto outcome =
     aDone.end() <= static_cast<uint32_t>(AttemptOutcome::Abandoned)
       ? static_cast<AttemptOutcome>(aDone.end())
       : AttemptOutcome::Abandoned;
   Deliver(mBroker.Release({ aDone.session(), aDone.ticket() },
-                          end,
+                          outcome,
                           std::chrono::microseconds{ aDone.took_us() },
                           mClock.Now()));
 }
--- a/src/librattandyke/gateway/slot_coordinator.h
+++ b/src/librattandyke/gateway/slot_coordinator.h
@@ -79,8 +79,11 @@
   /// each host and upstream.
   void StateChanged(const State& aState, const wire::GatewayCommand& aCommand);
 
+  /// Handles a slot request of another entry host.
   void OnSlotRequest(const wire::SlotAsk& aRequest);
+  /// Handles a home entry's answer to a slot request of this host.
   void OnSlotAnswer(const wire::SlotAnswer& aAnswer);
+  /// Handles the release of a slot by another entry host.
   void OnSlotRelease(const wire::SlotDone& aDone);
 
   /// Acquires a slot, from the home entry or on this host.
@@ -158,7 +161,7 @@
   bool ShouldChooseDirect(const SlotRequest& aRequest);
   void RecordHomeLatency(Duration aTime);
   /// Records a request for a slot of one upstream.
-  /// @return whether this host may send it without an answer of the home entry.
+  /// @return whether this host may send it without the home entry.
   bool RecordRequest(const std::string& aInstance);
   bool IsHomeOf(const std::string& aInstance) const;
   std::vector<std::string> ColdUpstreamsHomedHere() const;
--- a/src/librattandyke/gateway/slot_coordinator_homes.cpp
+++ b/src/librattandyke/gateway/slot_coordinator_homes.cpp
@@ -161,7 +161,7 @@
 
 /// While a key is hot and the home entry of its owner does not answer, each of
 /// some tens of hosts would send the owner a request. Requests beyond the
-/// owner's queue never get an answer and must not be sent again. A host that
+/// owner's queue never get a response and must not be sent again. A host that
 /// had another request for the owner within kBypassInterval assumes that it is
 /// in demand and does not bypass the home entry.
 bool
--- a/src/librattandyke/gateway/slot_coordinator_test.cpp
+++ b/src/librattandyke/gateway/slot_coordinator_test.cpp
@@ -296,7 +296,7 @@
 
 // The home entry of the owner of a hot key does not answer any of some tens of
 // entries. Each sends the owner one request uncoordinated. Further ones would
-// exceed the owner's queue and never get an answer, so the next request is
+// exceed the owner's queue and never get a response, so the next request is
 // refused at once with a time to retry after.
 TEST_F(SlotCoordinatorTest, ManyEntriesDoNotBypassTheHomeOfAHotOwner)
 {
--- a/src/librattandyke/gateway/slot_request_limiter.cpp
+++ b/src/librattandyke/gateway/slot_request_limiter.cpp
@@ -86,7 +86,7 @@
 
 /// A request in the home entry's queue costs the home entry no further work. If
 /// it counted as in flight until it has a slot, requests that wait for a late
-/// answer would block requests whose answers may still be in time.
+/// response would block requests whose responses may still be in time.
 std::vector<SlotRequestLimiter::QueuedDecision>
 SlotRequestLimiter::OnQueued(const std::string& aInstance)
 {
--- a/src/librattandyke/gateway/slot_request_limiter_test.cpp
+++ b/src/librattandyke/gateway/slot_request_limiter_test.cpp
@@ -92,9 +92,9 @@
   EXPECT_TRUE(IsDecided<Admitted>(4));
 }
 
-// A caller retries once, after the time in its answer. A request rejected near
-// the end of the rejection must not get the few remaining milliseconds: the
-// home entry's queue is as long as before.
+// A caller retries once, after the time in its response. A request rejected
+// near the end of the rejection must not get the few remaining milliseconds:
+// the home entry's queue is as long as before.
 TEST_F(SlotRequestLimiterTest, RejectionPassesOnRetryAfterOfHome)
 {
   IsDecided<Admitted>(1);
--- a/src/librattandyke/gateway/upstream_set.cpp
+++ b/src/librattandyke/gateway/upstream_set.cpp
@@ -470,10 +470,10 @@
   }
   const Upstream& upstream = found->second;
   const uint32_t room = std::max(upstream.slots / kUncoordinatedDivisor, 1U);
-  // Hosts that each send a cold upstream a few requests send too many together,
-  // so only its home entry sends to it.
   const bool overloaded = HasFreshReport(upstream, aNow) &&
                           upstream.report->waiting >= kOverloadedWaiting;
+  // Hosts that each send a cold upstream a few requests send too many together,
+  // so only its home entry sends to it.
   if (overloaded || upstream.inFlight >= room || aNow < upstream.avoidUntil ||
       aNow < upstream.coldUntil) {
     return UnavailableReason::Full;
--- a/src/librattandyke/gateway/upstream_set.h
+++ b/src/librattandyke/gateway/upstream_set.h
@@ -27,7 +27,7 @@
   Refused,
   /// The connection broke, or the response was invalid.
   Broken,
-  /// No answer arrived in time.
+  /// No response arrived in time.
   TimedOut,
   /// The attempt was cancelled for reasons unrelated to the upstream.
   Abandoned,
@@ -39,12 +39,14 @@
 class UpstreamSet
 {
 public:
+  /// An instance to send a request to.
   struct Choice
   {
     std::string instance;
     std::string address;
   };
 
+  /// Reason for which no instance can be chosen.
   enum class UnavailableReason
   {
     /// No suitable instance of the service is known.
@@ -99,6 +101,8 @@
   /// @return the number of instances that ColdInstances examines.
   size_t ColdCandidateCount() const { return mColdCandidates.size(); }
 
+  /// @return whether the instance is in its cold period, in which it bears only
+  /// a limited request rate.
   bool IsCold(const std::string& aInstance, Instant aNow) const;
 
   /// Chooses an instance of a group of a service.
@@ -164,6 +168,7 @@
   /// usable instances.
   uint32_t PickGroup(const std::string& aService, uint64_t aRandom) const;
 
+  /// Target number of instances per group if keys have no owners.
   static constexpr uint32_t kGroupSize = 16;
 
   /// @return the capacity of a group, or of an instance, in requests per
@@ -229,6 +234,7 @@
   /// Response time assumed for an upstream that has not answered yet.
   static constexpr double kDefaultResponseSeconds = 0.1;
 
+  /// An instance, as known to this host.
   struct Upstream
   {
     std::string service;
@@ -260,7 +266,7 @@
     double meanSeconds = 0;
     /// Number of response times in the average so far.
     uint32_t timedResponses = 0;
-    /// Failures since the last answer.
+    /// Failures since the last response.
     uint32_t failures = 0;
     Instant avoidUntil{};
     /// While the instance seems to be down: time of the next probe.
@@ -315,7 +321,8 @@
   static uint32_t MaxInFlight(const Upstream& aUpstream);
   static double Cost(const Upstream& aUpstream, const DataCentre& aDataCentre);
   const std::vector<const Item*>& SubsetOf(const std::string& aService);
-  /// @return whether the last load report of an instance is recent enough.
+  /// @return whether an instance has a load report that is recent enough to be
+  /// used.
   static bool HasFreshReport(const Upstream& aUpstream, Instant aNow);
   /// @return whether an instance was full in its last load report, that report
   /// is outdated, and this host has recently sent it another request.
--- a/src/librattandyke/gateway/upstream_set_direct.cpp
+++ b/src/librattandyke/gateway/upstream_set_direct.cpp
@@ -32,7 +32,7 @@
 constexpr double kAssumedLoadFraction = 0.7;
 /// Estimated number of requests waiting at an instance from which on it is not
 /// chosen. Its queue has room for a few more, since other hosts send requests
-/// that are not known here; requests beyond the queue may never get an answer.
+/// that are not known here; requests beyond the queue may never get a response.
 constexpr double kMaxDirectQueue = 3;
 /// The instances of a service count as reporting their load if one of them has
 /// done so within this time.
--- a/src/librattandyke/gateway/upstream_set_test.cpp
+++ b/src/librattandyke/gateway/upstream_set_test.cpp
@@ -20,7 +20,7 @@
 wire::GatewayCommand
 PutInstance(const std::string& aId,
             const std::string& aService,
-            uint64_t aLife = 0,
+            uint64_t aIncarnation = 0,
             bool aDraining = false)
 {
   wire::GatewayCommand command;
@@ -30,17 +30,17 @@
   instance->set_service(aService);
   instance->set_address("10.0.0.1:80");
   instance->set_slots(2);
-  instance->set_life(aLife);
+  instance->set_life(aIncarnation);
   instance->set_draining(aDraining);
   return command;
 }
 
 wire::GatewayCommand
-EndInstance(const std::string& aId, uint64_t aLife)
+EndInstance(const std::string& aId, uint64_t aIncarnation)
 {
   wire::GatewayCommand command;
   command.mutable_end_instance()->set_id(aId);
-  command.mutable_end_instance()->set_life(aLife);
+  command.mutable_end_instance()->set_life(aIncarnation);
   return command;
 }
 
@@ -50,13 +50,13 @@
 AnyCommand()
 {
   const std::string id = IdOf(*rc::gen::inRange<size_t>(0, kIds));
-  const auto life = *rc::gen::inRange<uint64_t>(1, 4);
+  const auto incarnation = *rc::gen::inRange<uint64_t>(1, 4);
   if (*rc::gen::inRange(0, 4) == 0) {
-    return EndInstance(id, life);
+    return EndInstance(id, incarnation);
   }
   const bool keyed = *rc::gen::arbitrary<bool>();
   return PutInstance(
-    id, keyed ? "board" : "desk", life, *rc::gen::arbitrary<bool>());
+    id, keyed ? "board" : "desk", incarnation, *rc::gen::arbitrary<bool>());
 }
 
 State
