--- a/src/librattandyke/gateway/heartbeat_wire_test.cpp
+++ b/src/librattandyke/gateway/heartbeat_wire_test.cpp
@@ -71,11 +71,11 @@
   EXPECT_EQ(received->grants->ranges[0].fence, Fence{ 12 });
   EXPECT_EQ(received->grants->ranges[0].handover, "7a21");
   const Result<HeartbeatAnswer> failed =
-    Fail(Code::UpstreamSuperseded, "a later life");
+    Fail(Code::UpstreamSuperseded, "a later incarnation");
   const auto receivedError = FromWire(ToWire(failed, 1));
   ASSERT_FALSE(receivedError);
   EXPECT_EQ(receivedError.error().code, Code::UpstreamSuperseded);
-  EXPECT_EQ(receivedError.error().message, "a later life");
+  EXPECT_EQ(receivedError.error().message, "a later incarnation");
 }
 
 } // namespace
--- a/src/librattandyke/gateway/owner_index.cpp
+++ b/src/librattandyke/gateway/owner_index.cpp
@@ -83,11 +83,11 @@
   const auto& [from, existing] = *aAt;
   mFree.erase(from);
   mRevoked.erase(from);
-  const auto held = mOwnedBy.find(existing.owner);
-  if (held != mOwnedBy.end()) {
-    held->second.erase(from);
-    if (held->second.empty()) {
-      mOwnedBy.erase(held);
+  const auto owned = mOwnedBy.find(existing.owner);
+  if (owned != mOwnedBy.end()) {
+    owned->second.erase(from);
+    if (owned->second.empty()) {
+      mOwnedBy.erase(owned);
     }
   }
   return mSegments.erase(aAt);
--- a/src/librattandyke/gateway/range_assigner.cpp
+++ b/src/librattandyke/gateway/range_assigner.cpp
@@ -136,27 +136,29 @@
 }
 
 Result<wire::GatewayCommand>
-RangeAssigner::OnDeregistration(const Deregistration& aLeaving,
+RangeAssigner::OnDeregistration(const Deregistration& aDeregistration,
                                 const State& aState) const
 {
   wire::GatewayCommand command;
-  const wire::UpstreamInstance* known = aState.FindInstance(aLeaving.instance);
-  if (aLeaving.life == 0 && known != nullptr && known->life() > 0) {
+  const wire::UpstreamInstance* known =
+    aState.FindInstance(aDeregistration.instance);
+  if (aDeregistration.life == 0 && known != nullptr && known->life() > 0) {
     // Any incarnation may have sent this call, possibly long ago. The current
-    // one isDraining, and becomes active again if its heartbeats say that it is
+    // one drains, and becomes active again if its heartbeats say that it is
     // ready.
-    command.mutable_withdraw_instance()->set_id(aLeaving.instance);
+    command.mutable_withdraw_instance()->set_id(aDeregistration.instance);
     return command;
   }
-  const bool hasIncarnation = aLeaving.life > 0;
+  const bool hasIncarnation = aDeregistration.life > 0;
   Result<void> checked =
-    hasIncarnation ? CheckIncarnation(aLeaving.instance, aLeaving.life, aState)
-                   : Result<void>{};
+    hasIncarnation
+      ? CheckIncarnation(aDeregistration.instance, aDeregistration.life, aState)
+      : Result<void>{};
   if (!checked) {
     return tl::unexpected(checked.error());
   }
-  command.mutable_end_instance()->set_id(aLeaving.instance);
-  command.mutable_end_instance()->set_life(aLeaving.life);
+  command.mutable_end_instance()->set_id(aDeregistration.instance);
+  command.mutable_end_instance()->set_life(aDeregistration.life);
   return command;
 }
 
--- a/src/librattandyke/gateway/range_assigner.h
+++ b/src/librattandyke/gateway/range_assigner.h
@@ -26,8 +26,8 @@
 /// between instances to balance load. Does no I/O: its methods return commands
 /// for the replicated log and read the resulting state. Not thread-safe.
 ///
-/// Owners and fences are replicated; lease end times are known to the leader
-/// only. A new leader assumes that its predecessor renewed every lease
+/// Owners and fencing tokens are replicated; lease end times are known to the
+/// leader only. A new leader assumes that its predecessor renewed every lease
 /// immediately before the election, for the full lease duration, and frees no
 /// keys of a silent instance earlier. So no two instances hold a key at the
 /// same time, even across a change of leader.
@@ -61,8 +61,9 @@
   /// @return the command that ends the instance, or that withdraws it if the
   /// deregistration names no incarnation; Code::UpstreamSuperseded if a later
   /// incarnation is known.
-  Result<wire::GatewayCommand> OnDeregistration(const Deregistration& aLeaving,
-                                                const State& aState) const;
+  Result<wire::GatewayCommand> OnDeregistration(
+    const Deregistration& aDeregistration,
+    const State& aState) const;
 
   /// Processes a heartbeat: registers the instance, frees the keys that it has
   /// released and plans moves of its keys.
@@ -106,6 +107,7 @@
   /// Adds a sample of an instance's response time, in seconds, to its average.
   void RecordLatency(const std::string& aInstance, double aSeconds);
 
+  /// Interval of calls of Tick.
   static constexpr Duration kTick = std::chrono::milliseconds{ 100 };
 
   /// @return how many times the loads of a service's owners were computed.
@@ -230,7 +232,7 @@
   /// Sets the time of an instance's next check for an expired lease.
   void ScheduleLeaseCheck(const std::string& aId,
                           InstanceStatus& aStatus,
-                          Instant aAt);
+                          Instant aTime);
   void CancelLeaseCheck(const std::string& aId, InstanceStatus& aStatus);
   /// @return the up-to-date index of a service's segments.
   const OwnerIndex& IndexOf(const std::string& aService,
--- a/src/librattandyke/gateway/range_assigner_leases.cpp
+++ b/src/librattandyke/gateway/range_assigner_leases.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-/// A new process at an address replaces a silent oldStatus one only after it
-/// has sent heartbeats for this many intervals. A single heartbeat is more
-/// likely a delayed one of an earlier process.
+/// A new process at an address replaces a silent one only after it has sent
+/// heartbeats for this many intervals. A single heartbeat is more likely a
+/// delayed one of an earlier process.
 constexpr double kReplacementIntervals = 0.7;
 /// Number of ticks, one second in total, in which RemoveSilentInstances visits
 /// all statuses, and the least number that it visits in a tick.
@@ -37,11 +37,11 @@
 void
 RangeAssigner::ScheduleLeaseCheck(const std::string& aId,
                                   InstanceStatus& aStatus,
-                                  Instant aAt)
+                                  Instant aTime)
 {
   CancelLeaseCheck(aId, aStatus);
-  aStatus.leaseCheckAt = aAt;
-  mLeaseChecks.emplace(aAt, aId);
+  aStatus.leaseCheckAt = aTime;
+  mLeaseChecks.emplace(aTime, aId);
 }
 
 void
@@ -56,10 +56,11 @@
 bool
 RangeAssigner::HoldsKeys(const std::string& aId, const State& aState)
 {
-  const auto& all = aState.AllRanges();
-  return std::any_of(all.begin(), all.end(), [&](const auto& aItem) {
-    return !IndexOf(aItem.first, aItem.second).OwnedBy(aId).empty();
-  });
+  const auto& allRanges = aState.AllRanges();
+  return std::any_of(
+    allRanges.begin(), allRanges.end(), [&](const auto& aItem) {
+      return !IndexOf(aItem.first, aItem.second).OwnedBy(aId).empty();
+    });
 }
 
 /// A single heartbeat may have been sent before the call that withdrew the
@@ -197,8 +198,8 @@
   for (const ReleasedRange& released : aHeartbeat.released) {
     for (const uint32_t key : index.OwnedBy(aHeartbeat.instance)) {
       const wire::RangeSegment& segment = ranges->Find(key);
-      // A heartbeat that was sent before the grant reports the release of an
-      // earlier lease on these keys.
+      // A heartbeat that was sent before the grant reports a release from an
+      // earlier grant of these keys.
       const bool current = segment.sequence() < aHeartbeat.sequence;
       const auto common = Intersect(SpanOf(segment), released.keys);
       if (current && common) {
@@ -247,10 +248,10 @@
   Instant aNow,
   std::vector<wire::GatewayCommand>& aCommands)
 {
-  const size_t most =
+  const size_t batchSize =
     std::max(mStatuses.size() / kRemovalTicks + 1, kMinRemovalBatch);
   auto at = mStatuses.upper_bound(mRemovalCursor);
-  for (size_t visited = 0; visited < std::min(most, mStatuses.size());
+  for (size_t visited = 0; visited < std::min(batchSize, mStatuses.size());
        ++visited) {
     if (at == mStatuses.end()) {
       at = mStatuses.begin();
@@ -271,8 +272,8 @@
       end->set_forgotten(true);
     }
     mRemovalCursor = id;
-    const bool forgotten = known == nullptr && silent;
-    if ((forgotten || aState.HasEnded(id, status.incarnation)) &&
+    const bool obsolete = known == nullptr && silent;
+    if ((obsolete || aState.HasEnded(id, status.incarnation)) &&
         !HoldsKeys(id, aState)) {
       CancelLeaseCheck(id, status);
       at = mStatuses.erase(at);
--- a/src/librattandyke/gateway/range_assigner_moves.cpp
+++ b/src/librattandyke/gateway/range_assigner_moves.cpp
@@ -96,8 +96,8 @@
     return;
   }
   const ServicePlan& plan = found->second;
-  // Most heartbeats end here. The loads are copied only for an owner that gives
-  // up keys.
+  // The method returns here for most heartbeats. The loads are copied only for
+  // an owner that gives up keys.
   const OwnerLoads& loads = OwnerLoadsOf(aHeartbeat.service, aState, aNow);
   const auto own = loads.find(id);
   if (own == loads.end() || own->second.utilization < kMinUtilizationToMove) {
@@ -169,12 +169,12 @@
 {
   const RangeTable* ranges = aState.Ranges(aHeartbeat.service);
   const auto& instances = aState.Instances();
-  const bool taken =
+  const bool hasTarget =
     std::any_of(instances.begin(), instances.end(), [&](const auto& aItem) {
       return aItem.second.service() == aHeartbeat.service &&
              IsActive(aItem.second, aState, aNow);
     });
-  if (ranges == nullptr || !taken) {
+  if (ranges == nullptr || !hasTarget) {
     return;
   }
   std::vector<KeySpan> revoked;
@@ -186,8 +186,9 @@
   AppendRevocation(aHeartbeat, revoked, aCommands);
 }
 
-/// From then on the instance's answers leave the revoked keys out. The mark is
-/// part of the replicated state, so a new leader continues the move.
+/// Once the command is applied, the instance's answers leave the revoked keys
+/// out. The mark is part of the replicated state, so a new leader continues the
+/// move.
 void
 RangeAssigner::AppendRevocation(const Heartbeat& aHeartbeat,
                                 const std::vector<KeySpan>& aSpans,
@@ -314,10 +315,10 @@
 }
 
 /// Reserved keys have no owner until their target sends a heartbeat, and the
-/// busiest key of a service loses more by a long wait than a faster owner
-/// makes up for within seconds. So a hot key moves only to an instance whose
-/// heartbeat is due about when the key is released. The time for which an
-/// answer may be delayed is taken into account.
+/// busiest key of a service loses more by a long wait than a faster owner makes
+/// up for within seconds. So a hot key moves only to an instance whose
+/// heartbeat is due about when the key is released. The deadline allows for the
+/// time for which the instance's answer may be delayed.
 bool
 RangeAssigner::IsHeartbeatDue(const std::string& aInstance, Instant aNow) const
 {
@@ -365,7 +366,7 @@
   if (ranges == nullptr || plan == mPlans.end()) {
     return false;
   }
-  bool released = false;
+  bool releasing = false;
   for (const uint32_t key : IndexOf(aHeartbeat.service, *ranges).Revoked()) {
     const wire::RangeSegment& segment = ranges->Find(key);
     ++mVisits;
@@ -377,9 +378,9 @@
     if (reservation != nullptr && reservation->to == aHeartbeat.instance) {
       return true;
     }
-    released |= reservation == nullptr;
+    releasing |= reservation == nullptr;
   }
-  if (!released) {
+  if (!releasing) {
     return false;
   }
   const OwnerLoads& ownerLoads = OwnerLoadsOf(aHeartbeat.service, aState, aNow);
--- a/src/testing/simulated_leader.h
+++ b/src/testing/simulated_leader.h
@@ -85,7 +85,8 @@
 };
 
 /// @return a heartbeat of an instance of service "board" with two slots and
-/// without an incarnation number.
+/// without an incarnation number. Its address depends on the first character of
+/// its id.
 inline Heartbeat
 HeartbeatFrom(const std::string& aInstance, uint64_t aSequence)
 {
