--- a/src/librattandyke/gateway/caller_connection.cpp
+++ b/src/librattandyke/gateway/caller_connection.cpp
@@ -145,8 +145,7 @@
 CallerConnection::WatchForDisconnect(std::shared_ptr<RequestContext> aContext)
 {
   mWatchedRequest = std::move(aContext);
-  if (mBuffer.size() == 0) { // Otherwise the next request is buffered, so the
-                             // caller is connected.
+  if (mBuffer.size() == 0) { // Otherwise the next request has arrived.
     AwaitReadable();
   }
 }
--- a/src/librattandyke/gateway/caller_connection.h
+++ b/src/librattandyke/gateway/caller_connection.h
@@ -51,8 +51,8 @@
   /// still read, for one more idle timeout, and handled.
   void Drain();
 
-  /// Drains the connection without waiting for its request: a request that is
-  /// handled is cancelled, one that has partly arrived is no longer read.
+  /// Drains the connection without waiting for its request: a request in
+  /// progress is cancelled, one that has partly arrived is no longer read.
   void ExpireRequests();
 
   /// @return whether the connection closes after its next response.
--- a/src/librattandyke/gateway/caller_connection_test.cpp
+++ b/src/librattandyke/gateway/caller_connection_test.cpp
@@ -191,8 +191,8 @@
   EXPECT_FALSE(finished);
   std::string received;
   caller.non_blocking(true);
-  constexpr int kMostRounds = 2000;
-  for (int round = 0; round < kMostRounds && !received.ends_with("\r\n\r\n");
+  constexpr int kMaxRounds = 2000;
+  for (int round = 0; round < kMaxRounds && !received.ends_with("\r\n\r\n");
        ++round) {
     std::array<char, 65536> bytes;
     ErrorCode ignored; // There may be no data in this round.
--- a/src/librattandyke/gateway/caller_server.h
+++ b/src/librattandyke/gateway/caller_server.h
@@ -62,7 +62,7 @@
   using Connection = std::shared_ptr<CallerConnection>;
   using Owner = std::shared_ptr<void>;
 
-  /// The end of a connection.
+  /// Describes how a connection ended.
   struct CloseEvent
   {
     CloseReason reason{};
@@ -81,6 +81,7 @@
   static boost::asio::awaitable<void> ServeConnection(CallerServer* aSelf,
                                                       Connection aConnection,
                                                       Owner aOwner);
+  /// Reads one request and handles it.
   boost::asio::awaitable<CloseResult> ServeNextRequest(Connection aConnection);
   boost::asio::awaitable<CloseResult> HandleRequest(
     Connection aConnection,
@@ -89,6 +90,9 @@
     std::shared_ptr<RequestContext> aContext,
     CallerRequest aRequest,
     CloseReason& aReason);
+  /// Sends an error response to a request that could not be read, if one is
+  /// due.
+  /// @param aStarted whether a part of the request was read.
   boost::asio::awaitable<CloseEvent> HandleReadError(
     Connection aConnection,
     CallerConnection::ErrorCode aError,
--- a/src/librattandyke/gateway/caller_server_test.cpp
+++ b/src/librattandyke/gateway/caller_server_test.cpp
@@ -122,8 +122,8 @@
   template<typename Condition>
   bool RunUntil(Condition aCondition)
   {
-    constexpr int kMostRounds = 3000;
-    for (int round = 0; round < kMostRounds && !aCondition(); ++round) {
+    constexpr int kMaxRounds = 3000;
+    for (int round = 0; round < kMaxRounds && !aCondition(); ++round) {
       context.restart();
       context.run_for(milliseconds{ 1 });
     }
@@ -151,23 +151,23 @@
   /// there is none.
   static int ServerDescriptorOf(const tcp::socket& aCaller)
   {
-    constexpr int kMostHandles = 1024;
+    constexpr int kMaxDescriptors = 1024;
     const tcp::endpoint wanted = aCaller.local_endpoint();
-    for (int handle = 0; handle < kMostHandles; ++handle) {
+    for (int descriptor = 0; descriptor < kMaxDescriptors; ++descriptor) {
       tcp::endpoint peer;
       auto size = static_cast<socklen_t>(peer.capacity());
-      if (getpeername(handle, peer.data(), &size) == 0 && peer == wanted) {
-        return handle;
+      if (getpeername(descriptor, peer.data(), &size) == 0 && peer == wanted) {
+        return descriptor;
       }
     }
     return -1;
   }
 
-  static int Option(int aHandle, int aLevel, int aName)
+  static int Option(int aDescriptor, int aLevel, int aName)
   {
     int value = -1;
     socklen_t size = sizeof(value);
-    getsockopt(aHandle, aLevel, aName, &value, &size);
+    getsockopt(aDescriptor, aLevel, aName, &value, &size);
     return value;
   }
 
@@ -239,7 +239,7 @@
 TEST_F(CallerServerTest, LogLinesOfClosedConnectionsAreLimited)
 {
   constexpr size_t kCallers = 50;
-  constexpr size_t kMostLines = 20;
+  constexpr size_t kMaxLines = 20;
   handler.holdRequests = true;
   std::vector<tcp::socket> callers;
   for (size_t i = 0; i < kCallers; ++i) {
@@ -250,7 +250,7 @@
   callers.clear();
   EXPECT_TRUE(
     RunUntil([&] { return handler.closes["caller_left"] == kCallers; }));
-  EXPECT_EQ(Count(Lines(), "ended under a request"), kMostLines);
+  EXPECT_EQ(Count(Lines(), "ended under a request"), kMaxLines);
 }
 
 TEST_F(CallerServerTest, NormalClosesAreCountedAndNotLogged)
@@ -435,9 +435,9 @@
 // has not run.
 TEST_F(CallerServerTest, ConnectionsAreServedWheneverListenerCloses)
 {
-  constexpr size_t kMostSteps = 9;
+  constexpr size_t kMaxSteps = 9;
   constexpr size_t kCallers = 3;
-  for (size_t steps = 0; steps < kMostSteps; ++steps) {
+  for (size_t steps = 0; steps < kMaxSteps; ++steps) {
     CallerServer other(context.get_executor(), handler, clock);
     address.port(other.Start({ "127.0.0.1", 0 }, nullptr)->port);
     std::vector<tcp::socket> callers;
@@ -498,9 +498,9 @@
 {
   tcp::socket caller = Connect();
   Send(caller, kRequest);
-  constexpr size_t kMostHandlers = 100;
-  EXPECT_LT(testing::HandlersWithoutDescriptors(context, kMostHandlers),
-            kMostHandlers);
+  constexpr size_t kMaxHandlers = 100;
+  EXPECT_LT(testing::HandlersWithoutDescriptors(context, kMaxHandlers),
+            kMaxHandlers);
   server.Sweep(clock.Now());
   ASSERT_TRUE(RunUntil([&] { return handler.handled == 1; }));
 }
--- a/src/librattandyke/gateway/egress_queue_test.cpp
+++ b/src/librattandyke/gateway/egress_queue_test.cpp
@@ -9,7 +9,7 @@
 using std::chrono::milliseconds;
 using Tickets = std::vector<EgressQueue::Ticket>;
 
-/// 100 KB/s: kLong bytes take 100 ms.
+/// 100 KB/s, so that 10,000 bytes take 100 ms.
 constexpr double kRate = 100'000;
 constexpr size_t kLong = 10'000;
 
--- a/src/librattandyke/gateway/request_context.cpp
+++ b/src/librattandyke/gateway/request_context.cpp
@@ -32,8 +32,8 @@
   CancelAttempt(kDeadlinePassed);
 }
 
-/// Sets a flag of its own: if this counted as an upstream that does not
-/// respond, all hosts would avoid an upstream that was only still running the
+/// Sets mHostShutdown besides mExpired. Otherwise the upstream would count as
+/// unresponsive, and all hosts would avoid it although it was still running the
 /// request.
 void
 RequestContext::OnHostShutdown()
--- a/src/librattandyke/gateway/request_handler.cpp
+++ b/src/librattandyke/gateway/request_handler.cpp
@@ -46,7 +46,7 @@
 /// the deadline for writing it.
 constexpr milliseconds kCallerDeliveryTime{ 15 };
 /// Timeout of a request without a deadline header.
-constexpr milliseconds kDefaultDeadline{ 10000 };
+constexpr milliseconds kDefaultTimeout{ 10000 };
 /// Maximum number of attempts of a request in which nothing was sent, including
 /// changes of its key's owner while it waited for a slot.
 constexpr int kMaxUnsentAttempts = 6;
@@ -228,7 +228,7 @@
 {
   auto& budget = mRetryBudgets[aService];
   const entry::RetryBudget::Settings share =
-    RetryShareOf({ mOptions.retryRatio, mOptions.retrySlack },
+    RetryShareOf({ mOptions.retryRatio, mOptions.retryBurst },
                  mFeed.CurrentState().Entries().size());
   if (!budget) {
     budget = std::make_unique<entry::RetryBudget>(share);
@@ -331,7 +331,7 @@
   const Duration timeout = milliseconds(
     requestedMs
       ? static_cast<int64_t>(std::min<uint64_t>(*requestedMs, 3'600'000))
-      : kDefaultDeadline.count());
+      : kDefaultTimeout.count());
   co_await AwaitFirstState(
     aContext, aRequest.arrived + Scaled(timeout, kMaxStateWaitShare));
   if (!HasState()) {
@@ -412,7 +412,7 @@
     const Instant now = mClock.Now();
     std::string owner = mSlots.Broker().Upstreams().OwnerOf(
       mFeed.CurrentState(), aProgress.service, *aProgress.key, now);
-    // No instance may be sent requests, so no owner is to be expected.
+    // If no instance may be sent requests, no owner is to be expected.
     const bool noUpstream =
       !mSlots.Broker().Upstreams().CanServe(aProgress.service);
     if (!owner.empty() || noUpstream || now >= deadline ||
--- a/src/librattandyke/gateway/request_handler.h
+++ b/src/librattandyke/gateway/request_handler.h
@@ -39,7 +39,7 @@
     /// Retries per first attempt, for all entry hosts together.
     double retryRatio = 0;
     /// Burst of retries beyond the ratio, for all entry hosts together.
-    double retrySlack = 0;
+    double retryBurst = 0;
     /// Bandwidth of the host's link; 0 if not configured.
     double linkBytesPerSecond = 0;
   };
@@ -120,6 +120,7 @@
   /// Requests that wait for a change of the replicated state.
   using Waiters = std::list<std::weak_ptr<RequestContext>>;
 
+  /// @return whether the keys of the service have owners.
   bool OwnsKeys(const std::string& aService) const;
   std::shared_ptr<const UpstreamRequest> MakeUpstreamRequest(
     const CallerRequest& aRequest,
@@ -186,8 +187,10 @@
                               const std::string& aId,
                               const std::string& aText,
                               std::optional<Duration> aRetryAfter = {}) const;
+  /// @return the service's retry budget, adjusted to the number of entry hosts.
   entry::RetryBudget& RetryBudgetOf(const std::string& aService);
   void WakeWaiters();
+  /// Counts a request for a key, for TakeLoadReport().
   void CountKeyRequest(const std::string& aService, uint32_t aKey);
 
   const boost::asio::any_io_executor mExecutor;
--- a/src/librattandyke/gateway/request_handler_link.cpp
+++ b/src/librattandyke/gateway/request_handler_link.cpp
@@ -1,4 +1,4 @@
-// RequestHandler: bandwidth of the host's link for requests and responses.
+// Part of RequestHandler that controls the use of the host's link.
 #include "gateway/request_handler.h"
 
 #include <algorithm>
@@ -14,7 +14,7 @@
 
 /// Interval at which a response that waits for the link checks whether it may
 /// be written. Waits are shorter unless the link is slower than configured.
-constexpr std::chrono::seconds kMaxEgressWait{ 2 };
+constexpr std::chrono::seconds kEgressCheckInterval{ 2 };
 
 } // namespace
 
@@ -31,7 +31,7 @@
   mEgressWaiters[ticket] = aContext;
   ArmEgressTimer();
   while (mEgressWaiters.contains(ticket) && !aContext->IsCancelled()) {
-    aContext->WakeTimer().expires_after(kMaxEgressWait);
+    aContext->WakeTimer().expires_after(kEgressCheckInterval);
     co_await aContext->WakeTimer().async_wait(kAwait);
   }
   if (mEgressWaiters.erase(ticket) > 0) {
--- a/src/librattandyke/gateway/serialize_response.cpp
+++ b/src/librattandyke/gateway/serialize_response.cpp
@@ -23,8 +23,8 @@
 /// Otherwise the request could arrive as the host closes the connection; its
 /// caller would get no response, and could not repeat a request that must run
 /// only once. Under many large configuration changes, 2 to 8 of 65,000 requests
-/// were lost in this way without the header (eight runs) and none with it (four
-/// runs).
+/// arrived during a close without these two measures (eight runs), and none
+/// with them (four runs).
 void
 AppendKeepAlive(std::string& aText, Duration aIdleTimeout)
 {
--- a/src/librattandyke/gateway/upstream_client.cpp
+++ b/src/librattandyke/gateway/upstream_client.cpp
@@ -401,8 +401,8 @@
   if (!has(mHeaders.signature) || !has(mHeaders.requestId) ||
       has("Content-Encoding")) {
     return MakeResult(AttemptResult::Kind::OutcomeUnknown,
-                      "the response " + std::to_string(aResponse.status) +
-                        " is not genuine");
+                      "the response with status " +
+                        std::to_string(aResponse.status) + " is not genuine");
   }
   AttemptResult result = MakeResult(AttemptResult::Kind::Response, "");
   result.response = std::move(aResponse);
--- a/src/librattandyke/gateway/upstream_client.h
+++ b/src/librattandyke/gateway/upstream_client.h
@@ -29,8 +29,7 @@
 
   void Close()
   {
-    boost::system::error_code
-      ignored; // The socket is closed even after an error.
+    boost::system::error_code ignored; // Closed even after an error.
     socket.close(ignored);
   }
 
@@ -132,7 +131,7 @@
     NotExecuted,
     /// No part of the request was sent.
     NotSent,
-    /// The request was sent and may have run.
+    /// The request was sent, at least in part, and may have run.
     OutcomeUnknown,
   };
   Kind kind = Kind::NotSent;
