--- a/src/librattandyke/gateway/link_budget_test.cpp
+++ b/src/librattandyke/gateway/link_budget_test.cpp
@@ -118,8 +118,8 @@
 };
 
 // Callers request 1.5 times the bandwidth of an entry's link for many seconds.
-// Without a limit nearly all responses are late. With it, nearly as many are in
-// time as the link can carry.
+// Without the budget nearly all responses are late. With it, nearly as many are
+// in time as the link can carry.
 TEST(LinkBudget, ResponsesAreInTimeUnderOverload)
 {
   EXPECT_LT(Burst::InTimeShare(1.5, false), 0.1);
--- a/src/librattandyke/gateway/request_handler.cpp
+++ b/src/librattandyke/gateway/request_handler.cpp
@@ -249,11 +249,11 @@
   upstreamRequest->requestId = aId;
   http::ForEachEndToEnd(
     aRequest.fields, [&](std::string_view aName, std::string_view aValue) {
-      const bool setByThisHost =
+      const bool notForwarded =
         boost::beast::iequals(aName, mHeaders.deadline) ||
         boost::beast::iequals(aName, mHeaders.expectedInstance) ||
         boost::beast::iequals(aName, "Expect");
-      if (!setByThisHost) {
+      if (!notForwarded) {
         http::AppendField(upstreamRequest->fields, aName, aValue);
       }
     });
