--- a/src/librattandyke/gateway/control_host.cpp
+++ b/src/librattandyke/gateway/control_host.cpp
@@ -24,8 +24,9 @@
 /// few seconds after which more hosts may be lost.
 constexpr milliseconds kReplaceAfter{ 900 };
 constexpr milliseconds kSpareAfter{ 1200 };
-/// A host with a fraction of a core is delayed by this much while many
-/// upstreams call.
+/// A host whose election timer fires late by this much was delayed itself. A
+/// host with a fraction of a core is delayed that long while many upstreams
+/// call.
 constexpr milliseconds kHeldUpAfter{ 30 };
 /// Number of log entries after which a snapshot is taken. A host that starts
 /// must apply the entries after its last snapshot before it can serve. At about
@@ -82,14 +83,14 @@
   if (Result<void> started = driver->Start(); !started) {
     return started;
   }
-  calls =
+  callServer =
     std::make_unique<HttpServer>(executor,
                                  *settings.calls,
                                  settings.MaxCallConnections(),
                                  [self = weak_from_this()](HttpRequest aCall) {
                                    return ServeCall(self, std::move(aCall));
                                  });
-  if (Result<void> started = calls->Start(); !started) {
+  if (Result<void> started = callServer->Start(); !started) {
     return started;
   }
   if (settings.metrics) {
@@ -112,7 +113,7 @@
 ControlHost::Impl::Stop(std::function<void()> aDone)
 {
   stopping = true;
-  calls->Stop();
+  callServer->Stop();
   if (metricsServer) {
     metricsServer->Stop();
   }
--- a/src/librattandyke/gateway/control_host_calls.cpp
+++ b/src/librattandyke/gateway/control_host_calls.cpp
@@ -57,6 +57,7 @@
   return text.str();
 }
 
+/// @return the HTTP status for an error.
 unsigned
 StatusOf(const Error& aError)
 {
@@ -128,6 +129,7 @@
     UnavailableResponse("The leader did not answer in time."));
 }
 
+/// Handles a call that another control host received.
 void
 ControlHost::Impl::OnForwardedCall(const wire::ForwardedCall& aCall)
 {
@@ -153,6 +155,8 @@
   aSelf->mesh->Send(HostName{ aCall.reply_to() }, frame.SerializeAsString());
 }
 
+/// Passes the leader's answer to the call that awaits it, unless that has timed
+/// out.
 void
 ControlHost::Impl::OnForwardedAnswer(const wire::ForwardedAnswer& aAnswer)
 {
@@ -165,6 +169,7 @@
   }
 }
 
+/// Decodes a call and handles it on the leader.
 asio::awaitable<HttpResponse>
 ControlHost::Impl::HandleAsLeader(const HttpRequest& aCall)
 {
@@ -284,11 +289,12 @@
            << changed.error().message;
     co_return ErrorResponse(changed.error());
   }
-  Info() << "this host takes a change of items: " << Summary(aChange)
+  Info() << "this host accepts a change of items: " << Summary(aChange)
          << ", in force at index " << state.Applied().value;
   co_return HttpResponse{ kOk, "{}", "application/json" };
 }
 
+/// @return whether the settings name a data centre, or name none at all.
 bool
 ControlHost::Impl::IsDataCentre(const DataCentre& aName) const
 {
@@ -306,8 +312,8 @@
   const char* const phase = aEvacuation.ends ? "the end" : "the start";
   if (!IsDataCentre(aEvacuation.dataCentre)) {
     Info() << "this host refuses " << phase
-           << " of an evacuation of an unknown data "
-           << "centre";
+           << " of the evacuation of a data centre that "
+           << "the settings do not name";
     co_return ErrorResponse(
       Error{ Code::UnknownRecord, "The settings name no such data centre." });
   }
@@ -319,7 +325,7 @@
   if (!committed) {
     co_return ErrorResponse(committed.error());
   }
-  Info() << "this host takes " << phase << " of the evacuation of "
+  Info() << "this host accepts " << phase << " of the evacuation of "
          << aEvacuation.dataCentre.value << ", in force at index "
          << state.Applied().value;
   metrics.Increment("evacuations",
@@ -327,6 +333,7 @@
   co_return HttpResponse{ kOk, "{}", "application/json" };
 }
 
+/// @return the current configuration items.
 HttpResponse
 ControlHost::Impl::OnReadItems() const
 {
--- a/src/librattandyke/gateway/control_host_feed.cpp
+++ b/src/librattandyke/gateway/control_host_feed.cpp
@@ -73,6 +73,8 @@
   return driver->IsLeader() ? HoldsLeaderLease() : driver->FollowsUpToDate();
 }
 
+/// @return the names of the members of the control group, which are their
+/// addresses.
 std::vector<std::string>
 ControlHost::Impl::ControlHosts() const
 {
@@ -83,6 +85,8 @@
   return hosts;
 }
 
+/// Serves a new subscriber, defers it while this host may be up to date soon,
+/// or closes its connection.
 void
 ControlHost::Impl::OnFeedOpen(const net::FrameMesh::Connection& aConnection,
                               const wire::FeedOpen& aOpen)
@@ -145,6 +149,7 @@
   }
 }
 
+/// Adds an entry host's report to the next report to the leader.
 void
 ControlHost::Impl::OnFeedReport(const net::FrameMesh::Connection& aConnection,
                                 const wire::FeedReport& aReport)
@@ -157,6 +162,7 @@
   pendingReport.mutable_entries()->MergeFrom(aReport.entries());
 }
 
+/// Takes the report of a control host, if this host is the leader.
 void
 ControlHost::Impl::OnHostReport(const wire::HostReport& aReport)
 {
--- a/src/librattandyke/gateway/control_host_heartbeats.cpp
+++ b/src/librattandyke/gateway/control_host_heartbeats.cpp
@@ -79,6 +79,8 @@
   mesh->Send(heartbeatBatchLeader, frame.SerializeAsString());
 }
 
+/// Queues heartbeats that another control host received. Answers those that do
+/// not fit into the queue with Code::Overloaded.
 void
 ControlHost::Impl::OnForwardedHeartbeats(
   const wire::ForwardedHeartbeats& aBatch)
@@ -134,6 +136,8 @@
   aSelf->QueueAnswer(aReplyTo, aHeartbeat.id(), answer);
 }
 
+/// Adds an answer to the next batch for the control host that forwarded the
+/// heartbeat.
 void
 ControlHost::Impl::QueueAnswer(const HostName& aReplyTo,
                                uint64_t aId,
--- a/src/librattandyke/gateway/control_host_impl.h
+++ b/src/librattandyke/gateway/control_host_impl.h
@@ -176,7 +176,7 @@
   boost::asio::steady_timer ticker;
   std::unique_ptr<net::FrameMesh> mesh;
   std::unique_ptr<consensus::Driver> driver;
-  std::unique_ptr<HttpServer> calls;
+  std::unique_ptr<HttpServer> callServer;
   std::unique_ptr<HttpServer> metricsServer;
   Metrics metrics;
   /// Results of the last applied commands, oldest first.
--- a/src/librattandyke/gateway/control_host_log.cpp
+++ b/src/librattandyke/gateway/control_host_log.cpp
@@ -18,6 +18,7 @@
 
 } // namespace
 
+/// Applies a committed command, publishes it to the feed and stores its result.
 void
 ControlHost::Impl::Apply(LogIndex aIndex, std::string_view aBytes)
 {
@@ -37,6 +38,8 @@
   }
 }
 
+/// @return the result of applying the command at an index, or
+/// Code::ProposalDropped if it is no longer stored.
 Result<void>
 ControlHost::Impl::OutcomeOf(LogIndex aIndex) const
 {
--- a/src/librattandyke/gateway/entry_host.cpp
+++ b/src/librattandyke/gateway/entry_host.cpp
@@ -104,6 +104,7 @@
     return self;
   }
 
+  /// Updates the slot coordinator, the request handler and the relay.
   void OnStateChanged(const wire::GatewayCommand* aCommand)
   {
     if (aCommand == nullptr) {
@@ -142,6 +143,8 @@
     }
   }
 
+  /// Serves a subscriber of the relay, or closes its connection if this host is
+  /// stopping or its state is too old.
   void OnFeedOpen(const net::FrameMesh::Connection& aConnection,
                   const wire::FeedOpen& aOpen)
   {
@@ -194,26 +197,26 @@
       return tl::unexpected(listening.error());
     }
     if (settings.readiness) {
-      readiness = std::make_unique<HttpServer>(
+      readinessServer = std::make_unique<HttpServer>(
         executor,
         *settings.readiness,
         settings.MaxCallConnections(),
         [self = weak_from_this()](HttpRequest aCall) {
           return ServeReadiness(self, std::move(aCall));
         });
-      if (Result<void> started = readiness->Start(); !started) {
+      if (Result<void> started = readinessServer->Start(); !started) {
         return started;
       }
     }
     if (settings.metrics) {
-      metrics = std::make_unique<HttpServer>(
+      metricsServer = std::make_unique<HttpServer>(
         executor,
         *settings.metrics,
         settings.MaxCallConnections(),
         [self = weak_from_this()](HttpRequest aCall) {
           return ServeMetrics(self, std::move(aCall));
         });
-      if (Result<void> started = metrics->Start(); !started) {
+      if (Result<void> started = metricsServer->Start(); !started) {
         return started;
       }
     }
@@ -289,6 +292,7 @@
     }
   }
 
+  /// Advances the shutdown. Called by each sweep after Stop.
   void ContinueStop(Instant aNow)
   {
     if (aNow - stopRequestedAt >= kBalancerDelay) {
@@ -338,8 +342,8 @@
   RequestHandler handler;
   CallerServer callers;
   asio::steady_timer slotTimer;
-  std::unique_ptr<HttpServer> readiness;
-  std::unique_ptr<HttpServer> metrics;
+  std::unique_ptr<HttpServer> readinessServer;
+  std::unique_ptr<HttpServer> metricsServer;
   Instant lastReportAt{};
   bool stopping = false;
   /// ExpireRequests has been called.
--- a/src/librattandyke/gateway/http_server_test.cpp
+++ b/src/librattandyke/gateway/http_server_test.cpp
@@ -71,8 +71,7 @@
     for (size_t i = 0; i < maxConnections + 10; ++i) {
       tcp::socket& client = clients.emplace_back(context);
       client.connect(TcpOf(address));
-      boost::system::error_code
-        error; // A refused connection shows in the count.
+      boost::system::error_code error; // Refusals show in the count.
       asio::write(
         client,
         asio::buffer(std::string("GET / HTTP/1.1\r\nHost: h\r\n\r\n")),
@@ -112,7 +111,7 @@
   for (size_t i = 0; i < kUpstreams + kReplaced; ++i) {
     tcp::socket& client = clients.emplace_back(context);
     client.connect(TcpOf(address));
-    boost::system::error_code error; // A refused connection shows in the count.
+    boost::system::error_code error; // Refusals show in the count.
     asio::write(client,
                 asio::buffer(std::string("GET / HTTP/1.1\r\nHost: h\r\n\r\n")),
                 error);
