--- a/src/librattandyke/gateway/control_host_feed.cpp
+++ b/src/librattandyke/gateway/control_host_feed.cpp
@@ -162,7 +162,7 @@
   pendingReport.mutable_entries()->MergeFrom(aReport.entries());
 }
 
-/// Takes the report of a control host, if this host is the leader.
+/// Processes the report of a control host as the leader. Other hosts ignore it.
 void
 ControlHost::Impl::OnHostReport(const wire::HostReport& aReport)
 {
--- a/src/librattandyke/gateway/entry_host.cpp
+++ b/src/librattandyke/gateway/entry_host.cpp
@@ -23,9 +23,9 @@
 
 /// Interval of the periodic work. Idle timeouts end late by up to this much.
 constexpr milliseconds kSweepInterval{ 200 };
-/// Interval of load reports, half of the heartbeats' interval. Hot keys change
-/// within seconds, and an overloaded owner refuses half of its requests until
-/// they are moved to another instance.
+/// Interval of load reports. It is shorter than the default interval of
+/// heartbeats, 1 s: hot keys change within seconds, and an overloaded owner
+/// refuses half of its requests until they are moved to another instance.
 constexpr milliseconds kReportInterval{ 200 };
 /// Above this age of its own state, an entry host sends no pings and closes the
 /// connections of its subscribers.
--- a/src/librattandyke/gateway/feed_test.cpp
+++ b/src/librattandyke/gateway/feed_test.cpp
@@ -326,11 +326,11 @@
     for (uint64_t number = 1; number <= 50; ++number) {
       static_cast<void>(state.Apply(PutInstance(number), LogIndex{ number }));
     }
-    wire::GatewayFrame whole;
-    *whole.mutable_feed_snapshot()->mutable_state() = state.Save();
+    wire::GatewayFrame snapshot;
+    *snapshot.mutable_feed_snapshot()->mutable_state() = state.Save();
     wire::GatewayFrame ping;
     ping.mutable_feed_ping()->set_applied(state.Applied().value);
-    mBytes = Framed(whole) + Framed(ping);
+    mBytes = Framed(snapshot) + Framed(ping);
     Accept();
   }
 
