--- a/src/librattandyke/gateway/entry_host.cpp
+++ b/src/librattandyke/gateway/entry_host.cpp
@@ -3,10 +3,10 @@
 #include <boost/asio/steady_timer.hpp>
 
 #include "base/endpoint.h"
-#include "gateway/call_server.h"
-#include "gateway/caller_front.h"
+#include "gateway/caller_server.h"
 #include "gateway/feed_client.h"
 #include "gateway/feed_server.h"
+#include "gateway/http_server.h"
 #include "gateway/request_handler.h"
 #include "log/log.h"
 #include "net/frame_mesh.h"
@@ -21,20 +21,21 @@
 using std::chrono::milliseconds;
 using ErrorCode = boost::system::error_code;
 
-/// The sweep's interval is the error of the idle timeouts.
+/// Interval of the periodic work. Idle timeouts end late by up to this much.
 constexpr milliseconds kSweepInterval{ 200 };
-/// Busy keys change within seconds, and a holder that is overrun refuses half
-/// of what comes until they are moved; twice as often as heartbeats come is
-/// soon enough.
+/// Interval of load reports. It is shorter than the default interval of
+/// heartbeats, 1 s: hot keys change within seconds, and an overloaded owner
+/// refuses half of its requests until they are moved to another instance.
 constexpr milliseconds kReportInterval{ 200 };
-/// Above this age of its own state an entry assures no other of it.
-constexpr milliseconds kRelayedAge{ 600 };
-/// A balancer asks once a second and takes a host out after two misses; until
-/// then it sends new connections.
-constexpr milliseconds kLeaveRotation{ 2600 };
-/// Kept of the time before the process is killed: for its end, on a part of a
-/// core.
-constexpr milliseconds kGraceMargin{ 300 };
+/// Above this age of its own state, an entry host sends no pings and closes the
+/// connections of its subscribers.
+constexpr milliseconds kMaxRelayedAge{ 600 };
+/// Time for which a load balancer may still send new connections. It checks
+/// readiness once per second and removes a host after two failures.
+constexpr milliseconds kBalancerDelay{ 2600 };
+/// The part of the shutdown grace that is reserved for the process's exit on a
+/// fraction of a core. After the grace the process is killed.
+constexpr milliseconds kExitMargin{ 300 };
 
 constexpr unsigned kOk = 200;
 constexpr unsigned kNotFound = 404;
@@ -53,23 +54,23 @@
     , settings(aSettings)
     , dialect(aDialect)
     , clock(aClock)
-    , sweeper(executor)
+    , sweepTimer(executor)
     , feed(
         executor,
-        { SelfOf(aSettings), aSettings.seeds },
+        { MemberOf(aSettings), aSettings.seeds },
         [this](const wire::GatewayCommand* aCommand) {
           OnStateChanged(aCommand);
         },
         aClock,
         aSeed)
-    , relay(feed.Known(), FeedServer::WhileAlone::Forget)
-    , desk(
+    , relay(feed.CurrentState(), FeedServer::IdleHistory::Discard)
+    , slots(
         executor,
-        ToString(aSettings.Self()),
+        ToString(aSettings.AdvertisedAddress()),
         aSeed,
         [this](const HostName& aTo, const wire::GatewayFrame& aFrame) {
           const std::string bytes = aFrame.SerializeAsString();
-          handler.NoteSent(bytes.size());
+          handler.RecordSent(bytes.size());
           mesh->Send(aTo, bytes);
         },
         aClock,
@@ -78,43 +79,44 @@
                               aSettings.evacuationTimeout,
                               aSettings.coldFactor,
                               aSettings.coldSlack,
-                              ToString(aSettings.Self()),
+                              ToString(aSettings.AdvertisedAddress()),
                               aSettings.dataCentre },
-        [this] { return feed.Age(); })
+        [this] { return feed.StateAge(); })
     , handler(executor,
               { aSettings.dataCentre,
                 aSettings.retryRatio,
                 aSettings.retrySlack,
                 aSettings.linkMbits * kBytesPerMbit },
               feed,
-              desk,
+              slots,
               aDialect,
               aClock)
     , callers(executor, handler, aClock)
-    , slotTicker(executor)
+    , slotTimer(executor)
   {
   }
 
-  static wire::EntryMember SelfOf(const Settings& aSettings)
+  static wire::EntryMember MemberOf(const Settings& aSettings)
   {
     wire::EntryMember self;
-    self.set_address(ToString(aSettings.Self()));
+    self.set_address(ToString(aSettings.AdvertisedAddress()));
     self.set_data_centre(aSettings.dataCentre.value);
     return self;
   }
 
+  /// Updates the slot coordinator, the request handler and the relay.
   void OnStateChanged(const wire::GatewayCommand* aCommand)
   {
     if (aCommand == nullptr) {
-      desk.StateChanged(feed.Known());
+      slots.StateChanged(feed.CurrentState());
     } else {
-      desk.StateChanged(feed.Known(), *aCommand);
+      slots.StateChanged(feed.CurrentState(), *aCommand);
     }
     handler.StateChanged(aCommand);
     if (aCommand == nullptr) {
-      relay.Reset();
+      relay.OnStateReplaced();
     } else {
-      relay.Applied(*aCommand, feed.Known().Applied());
+      relay.Publish(*aCommand, feed.CurrentState().Applied());
       relay.Flush();
     }
   }
@@ -129,48 +131,50 @@
         << "a message between hosts can't be read; the connection ends";
       aConnection->Close();
     } else if (frame.has_slot_ask()) {
-      desk.OnAsk(frame.slot_ask());
+      slots.OnSlotRequest(frame.slot_ask());
     } else if (frame.has_slot_answer()) {
-      desk.OnAnswer(frame.slot_answer());
+      slots.OnSlotAnswer(frame.slot_answer());
     } else if (frame.has_slot_done()) {
-      desk.OnDone(frame.slot_done());
+      slots.OnSlotRelease(frame.slot_done());
     } else if (frame.has_feed_open()) {
-      OnRelayOpen(aConnection, frame.feed_open());
+      OnFeedOpen(aConnection, frame.feed_open());
     } else if (frame.has_feed_report()) {
-      OnRelayedReport(aConnection, frame.feed_report());
+      OnFeedReport(aConnection, frame.feed_report());
     }
   }
 
-  void OnRelayOpen(const net::FrameMesh::Connection& aConnection,
-                   const wire::FeedOpen& aOpen)
+  /// Serves a subscriber of the relay, or closes its connection if this host is
+  /// stopping or its state is too old.
+  void OnFeedOpen(const net::FrameMesh::Connection& aConnection,
+                  const wire::FeedOpen& aOpen)
   {
-    if (stopping || feed.Age() >= kRelayedAge) {
+    if (stopping || feed.StateAge() >= kMaxRelayedAge) {
       aConnection->Close();
       return;
     }
-    relay.Open(aConnection, aOpen);
-    relay.Ping(aConnection, feed.ControlHosts(), feed.Age());
+    relay.Subscribe(aConnection, aOpen);
+    relay.Ping(aConnection, feed.ControlHosts(), feed.StateAge());
   }
 
-  /// Passes on what an entry that subscribes here reports.
-  void OnRelayedReport(const net::FrameMesh::Connection& aConnection,
-                       wire::FeedReport aReport)
+  /// Forwards the report of an entry host that subscribes to the relay.
+  void OnFeedReport(const net::FrameMesh::Connection& aConnection,
+                    wire::FeedReport aReport)
   {
     if (aReport.leaving()) {
-      relay.Leave(aConnection);
+      relay.MarkLeaving(aConnection);
       aReport.set_leaving(false);
     }
     feed.Report(aReport);
   }
 
-  void TickSlots()
+  void ScheduleSlotTick()
   {
-    slotTicker.expires_after(SlotBroker::kTick);
-    slotTicker.async_wait([self = weak_from_this()](ErrorCode aError) {
+    slotTimer.expires_after(SlotBroker::kTick);
+    slotTimer.async_wait([self = weak_from_this()](ErrorCode aError) {
       const auto host = self.lock();
       if (host && !aError) {
-        host->desk.Tick();
-        host->TickSlots();
+        host->slots.Tick();
+        host->ScheduleSlotTick();
       }
     });
   }
@@ -184,81 +188,82 @@
         [this](const auto& aConnection, std::string_view aMessage) {
           OnFrame(aConnection, aMessage);
         },
-        [this](const auto& aConnection) { relay.Close(aConnection); } });
+        [this](const auto& aConnection) { relay.Unsubscribe(aConnection); } });
     if (Result<void> started = mesh->Start(); !started) {
       return started;
     }
-    const auto open = callers.Start(*settings.callers, shared_from_this());
-    if (!open) {
-      return tl::unexpected(open.error());
+    const auto listening = callers.Start(*settings.callers, shared_from_this());
+    if (!listening) {
+      return tl::unexpected(listening.error());
     }
     if (settings.readiness) {
-      readiness = std::make_unique<CallServer>(
+      readinessServer = std::make_unique<HttpServer>(
         executor,
         *settings.readiness,
-        settings.MostCalls(),
-        [self = weak_from_this()](CallRequest aCall) {
-          return AnswerReadiness(self, std::move(aCall));
+        settings.MaxCallConnections(),
+        [self = weak_from_this()](HttpRequest aCall) {
+          return ServeReadiness(self, std::move(aCall));
         });
-      if (Result<void> started = readiness->Start(); !started) {
+      if (Result<void> started = readinessServer->Start(); !started) {
         return started;
       }
     }
     if (settings.metrics) {
-      metrics = std::make_unique<CallServer>(
+      metricsServer = std::make_unique<HttpServer>(
         executor,
         *settings.metrics,
-        settings.MostCalls(),
-        [self = weak_from_this()](CallRequest aCall) {
-          return AnswerMetrics(self, std::move(aCall));
+        settings.MaxCallConnections(),
+        [self = weak_from_this()](HttpRequest aCall) {
+          return ServeMetrics(self, std::move(aCall));
         });
-      if (Result<void> started = metrics->Start(); !started) {
+      if (Result<void> started = metricsServer->Start(); !started) {
         return started;
       }
     }
     feed.Start();
-    Sweep();
-    TickSlots();
+    ScheduleSweep();
+    ScheduleSlotTick();
     return {};
   }
 
   bool IsReady() const
   {
-    return !stopping && feed.HasState() && !feed.Known().Items().IsEmpty();
+    return !stopping && feed.HasState() &&
+           !feed.CurrentState().Items().IsEmpty();
   }
 
-  static asio::awaitable<CallAnswer> AnswerReadiness(std::weak_ptr<Impl> aSelf,
-                                                     CallRequest aCall)
+  static asio::awaitable<HttpResponse> ServeReadiness(std::weak_ptr<Impl> aSelf,
+                                                      HttpRequest aCall)
   {
     const auto self = aSelf.lock();
     if (self && !self->dialect.IsReadinessPath(aCall.target)) {
-      co_return CallAnswer{ kNotFound,
-                            "only readiness is asked here\n",
-                            "text/plain" };
+      co_return HttpResponse{ kNotFound,
+                              "only the readiness path is served here\n",
+                              "text/plain" };
     }
     const bool ready = self && self->IsReady();
-    co_return CallAnswer{ ready ? kOk : kUnavailable,
-                          ready ? "ready\n" : "not ready\n",
-                          "text/plain" };
+    co_return HttpResponse{ ready ? kOk : kUnavailable,
+                            ready ? "ready\n" : "not ready\n",
+                            "text/plain" };
   }
 
-  static asio::awaitable<CallAnswer> AnswerMetrics(std::weak_ptr<Impl> aSelf,
-                                                   CallRequest aCall)
+  static asio::awaitable<HttpResponse> ServeMetrics(std::weak_ptr<Impl> aSelf,
+                                                    HttpRequest aCall)
   {
     const auto self = aSelf.lock();
-    co_return CallAnswer{ self ? kOk : kUnavailable,
-                          self ? self->handler.MetricsPage() : std::string(),
-                          "text/plain" };
+    co_return HttpResponse{ self ? kOk : kUnavailable,
+                            self ? self->handler.MetricsPage() : std::string(),
+                            "text/plain" };
   }
 
-  void Sweep()
+  void ScheduleSweep()
   {
-    sweeper.expires_after(kSweepInterval);
-    sweeper.async_wait([self = weak_from_this()](ErrorCode aError) {
+    sweepTimer.expires_after(kSweepInterval);
+    sweepTimer.async_wait([self = weak_from_this()](ErrorCode aError) {
       const auto host = self.lock();
       if (host && !aError) {
         host->OnSweep();
-        host->Sweep();
+        host->ScheduleSweep();
       }
     });
   }
@@ -268,44 +273,46 @@
     const Instant now = clock.Now();
     callers.Sweep(now);
     handler.Sweep();
-    if (!stopping && feed.Age() < kRelayedAge) {
-      relay.Ping(feed.ControlHosts(), feed.Age());
+    if (!stopping && feed.StateAge() < kMaxRelayedAge) {
+      relay.Ping(feed.ControlHosts(), feed.StateAge());
     } else {
       relay.CloseAll();
     }
-    if (now - reportedAt >= kReportInterval) {
-      reportedAt = now;
-      wire::FeedReport report = handler.TakeLoads();
+    if (now - lastReportAt >= kReportInterval) {
+      lastReportAt = now;
+      wire::FeedReport report = handler.TakeLoadReport();
       report.set_leaving(stopping);
-      for (const wire::EntryMember& entry : relay.Entries()) {
+      for (const wire::EntryMember& entry : relay.ServingEntries()) {
         *report.add_entries() = entry;
       }
       feed.Report(report);
     }
     if (stopping) {
-      OnStopping(now);
+      ContinueStop(now);
     }
   }
 
-  void OnStopping(Instant aNow)
+  /// Advances the shutdown. Called by each sweep after Stop.
+  void ContinueStop(Instant aNow)
   {
-    if (aNow - stoppedAt >= kLeaveRotation) {
+    if (aNow - stopRequestedAt >= kBalancerDelay) {
       callers.Close();
     }
-    // Safeguard: the process ends under what has not ended by then, and its
-    // callers would get resets, which tell them nothing. One sweep is time for
-    // the answers to be written.
-    const Duration left = stoppedAt + settings.shutdownGrace - aNow;
-    const bool late = left <= kGraceMargin && lastCalled;
-    if (left <= kGraceMargin + kSweepInterval) {
-      callers.LastCall();
-      lastCalled = true;
+    // The process exits at the end of the grace even if requests are left.
+    // Their callers would get connection resets and not know whether the
+    // requests ran. So those requests are answered one sweep earlier, which
+    // leaves time to write the answers.
+    const Duration graceLeft = stopRequestedAt + settings.shutdownGrace - aNow;
+    const bool graceOver = graceLeft <= kExitMargin && requestsExpired;
+    if (graceLeft <= kExitMargin + kSweepInterval) {
+      callers.ExpireRequests();
+      requestsExpired = true;
     }
     const bool idle = callers.IsClosed();
-    if ((late || idle) && done) {
+    if ((graceOver || idle) && done) {
       feed.Stop();
-      sweeper.cancel();
-      slotTicker.cancel();
+      sweepTimer.cancel();
+      slotTimer.cancel();
       mesh->Stop();
       std::exchange(done, nullptr)();
     }
@@ -315,7 +322,7 @@
   {
     stopping = true;
     callers.Stop();
-    stoppedAt = clock.Now();
+    stopRequestedAt = clock.Now();
     done = std::move(aDone);
     wire::FeedReport report;
     report.set_leaving(true);
@@ -326,21 +333,22 @@
   Settings settings;
   const Dialect& dialect;
   const Clock& clock;
-  asio::steady_timer sweeper;
+  asio::steady_timer sweepTimer;
   std::unique_ptr<net::FrameMesh> mesh;
   FeedClient feed;
+  /// Relays the feed to entry hosts that can't reach a control host.
   FeedServer relay;
-  SlotDesk desk;
+  SlotCoordinator slots;
   RequestHandler handler;
-  CallerFront callers;
-  asio::steady_timer slotTicker;
-  std::unique_ptr<CallServer> readiness;
-  std::unique_ptr<CallServer> metrics;
-  Instant reportedAt{};
+  CallerServer callers;
+  asio::steady_timer slotTimer;
+  std::unique_ptr<HttpServer> readinessServer;
+  std::unique_ptr<HttpServer> metricsServer;
+  Instant lastReportAt{};
   bool stopping = false;
-  /// Requests have been told that the host ends.
-  bool lastCalled = false;
-  Instant stoppedAt{};
+  /// ExpireRequests has been called.
+  bool requestsExpired = false;
+  Instant stopRequestedAt{};
   std::function<void()> done;
 };
 
--- a/src/librattandyke/gateway/feed_test.cpp
+++ b/src/librattandyke/gateway/feed_test.cpp
@@ -30,40 +30,41 @@
 }
 
 wire::GatewayFrame
-Read(const std::string& aBytes)
+Parse(const std::string& aBytes)
 {
   wire::GatewayFrame frame;
   EXPECT_TRUE(frame.ParseFromString(aBytes));
-  return frame.has_packed() ? UnpackFrame(frame.packed()).value() : frame;
+  return frame.has_packed() ? DecompressFrame(frame.packed()).value() : frame;
 }
 
-/// The far end of a subscription: keeps what arrives.
+/// A subscriber that stores the frames it receives.
 struct Subscriber
 {
   std::shared_ptr<net::FrameConnection> near;
   std::shared_ptr<net::FrameConnection> far;
   std::vector<std::string> frames;
 
-  State Known() const
+  State CurrentState() const
   {
     State state;
     for (const std::string& bytes : frames) {
-      const wire::GatewayFrame frame = Read(bytes);
+      const wire::GatewayFrame frame = Parse(bytes);
       if (frame.has_feed_snapshot()) {
         state.Load(frame.feed_snapshot().state());
       } else if (frame.has_feed_command()) {
-        Take(state, frame.feed_command());
+        ApplyIfNew(state, frame.feed_command());
       }
       for (const wire::FeedCommand& command :
            frame.feed_commands().commands()) {
-        Take(state, command);
+        ApplyIfNew(state, command);
       }
     }
     return state;
   }
 
-  /// As FeedClient does: what is known already is skipped.
-  static void Take(State& aState, const wire::FeedCommand& aCommand)
+  /// Applies a command unless the state includes it already, as FeedClient
+  /// does.
+  static void ApplyIfNew(State& aState, const wire::FeedCommand& aCommand)
   {
     if (aCommand.index() > aState.Applied().value) {
       EXPECT_TRUE(
@@ -77,17 +78,17 @@
 protected:
   void Apply(const wire::GatewayCommand& aCommand)
   {
-    Gather(aCommand);
+    Queue(aCommand);
     server.Flush();
   }
 
-  void Gather(const wire::GatewayCommand& aCommand)
+  void Queue(const wire::GatewayCommand& aCommand)
   {
     ASSERT_TRUE(state.Apply(aCommand, LogIndex{ ++index }));
-    server.Applied(aCommand, LogIndex{ index });
+    server.Publish(aCommand, LogIndex{ index });
   }
 
-  std::shared_ptr<Subscriber> Subscribe(bool aReadsPacked = false)
+  std::shared_ptr<Subscriber> Subscribe(bool aAcceptsCompressed = false)
   {
     tcp::acceptor acceptor(context, { asio::ip::make_address("127.0.0.1"), 0 });
     tcp::socket near(context);
@@ -103,8 +104,8 @@
         [] {},
         {} });
     wire::FeedOpen open;
-    open.set_reads_packed(aReadsPacked);
-    server.Open(subscriber->near, open);
+    open.set_reads_packed(aAcceptsCompressed);
+    server.Subscribe(subscriber->near, open);
     return subscriber;
   }
 
@@ -120,10 +121,10 @@
   FeedServer server{ state };
 };
 
-// All hosts were restarted, and every entry asks for the whole state while new
-// commands are applied. It is encoded once; with the commands after it each
-// subscriber ends at the same state.
-TEST_F(FeedServerTest, WholeStateIsSharedAndFollowedByNewerCommands)
+// All hosts were restarted, and every entry host requests a snapshot while new
+// commands are applied. The snapshot is encoded once. With the commands after
+// it all subscribers arrive at the same state.
+TEST_F(FeedServerTest, SnapshotIsSharedAndFollowedByNewerCommands)
 {
   for (uint64_t number = 1; number <= 20; ++number) {
     Apply(PutInstance(number));
@@ -138,14 +139,15 @@
   ASSERT_FALSE(second->frames.empty());
   EXPECT_EQ(first->frames.front(), second->frames.front());
   for (const auto& subscriber : { first, second }) {
-    EXPECT_EQ(subscriber->Known().Applied(), state.Applied());
-    EXPECT_EQ(subscriber->Known().Instances().size(), 40U);
+    EXPECT_EQ(subscriber->CurrentState().Applied(), state.Applied());
+    EXPECT_EQ(subscriber->CurrentState().Instances().size(), 40U);
   }
 }
 
-// More commands than are kept have been applied since a whole state was
-// encoded. A subscriber that got it now would miss some of them for ever.
-TEST_F(FeedServerTest, WholeStateThatIsTooOldIsEncodedAgain)
+// More commands than the history keeps have been applied since a snapshot was
+// encoded. A new subscriber that got the old snapshot would never receive some
+// of them.
+TEST_F(FeedServerTest, OutdatedSnapshotIsEncodedAgain)
 {
   Apply(PutInstance(1));
   const auto first = Subscribe();
@@ -154,85 +156,85 @@
   }
   const auto second = Subscribe();
   Run();
-  EXPECT_EQ(second->Known().Instances().size(), 900U);
-  EXPECT_EQ(first->Known().Instances().size(), 900U);
+  EXPECT_EQ(second->CurrentState().Instances().size(), 900U);
+  EXPECT_EQ(first->CurrentState().Instances().size(), 900U);
 }
 
-// Guards against a write for each subscriber and each upstream that registers,
-// which keep a control host busy while a fleet starts.
-TEST_F(FeedServerTest, CommandsOfOneMomentAreOneMessage)
+// Failure: each command is sent alone to each subscriber. While a fleet of
+// upstreams registers, the writes keep a control host busy.
+TEST_F(FeedServerTest, QueuedCommandsAreSentInOneMessage)
 {
   std::vector<std::shared_ptr<Subscriber>> subscribers;
   for (int at = 0; at < 10; ++at) {
     subscribers.push_back(Subscribe());
   }
   for (const uint64_t commands : { 100U, 1000U, 10000U }) {
-    const uint64_t before = server.Messages();
+    const uint64_t before = server.MessagesSent();
     for (uint64_t number = 1; number <= commands; ++number) {
-      Gather(PutInstance(number));
+      Queue(PutInstance(number));
     }
     server.Flush();
     Run();
-    EXPECT_EQ(server.Messages() - before, subscribers.size());
+    EXPECT_EQ(server.MessagesSent() - before, subscribers.size());
   }
   for (const auto& subscriber : subscribers) {
-    EXPECT_EQ(subscriber->Known().Applied(), state.Applied());
+    EXPECT_EQ(subscriber->CurrentState().Applied(), state.Applied());
   }
 }
 
-// Guards against subscribers that miss what was gathered as they came.
-TEST_F(FeedServerTest, WhoComesWhileCommandsAreGatheredMissesNone)
+// Failure: a subscriber that joins while commands are queued misses them.
+TEST_F(FeedServerTest, SubscriberThatJoinsBeforeAFlushMissesNoCommand)
 {
   Apply(PutInstance(1));
-  const auto early = Subscribe();
-  Gather(PutInstance(2));
-  const auto late = Subscribe();
-  Gather(PutInstance(3));
+  const auto existing = Subscribe();
+  Queue(PutInstance(2));
+  const auto joining = Subscribe();
+  Queue(PutInstance(3));
   server.Flush();
   Run();
-  for (const auto& subscriber : { early, late }) {
-    EXPECT_EQ(subscriber->Known().Instances().size(), 3U);
+  for (const auto& subscriber : { existing, joining }) {
+    EXPECT_EQ(subscriber->CurrentState().Instances().size(), 3U);
   }
 }
 
-// Guards against a large state that is encoded anew for nearly each of the
-// entries that ask for it while upstreams register.
-TEST_F(FeedServerTest, EncodingsOfALargeStateDoNotGrowWithItsChanges)
+// Failure: while upstreams register, a large state is encoded again for almost
+// every entry host that requests a snapshot.
+TEST_F(FeedServerTest, SnapshotEncodingsDoNotGrowWithTheNumberOfCommands)
 {
-  constexpr uint64_t kComers = 100;
-  for (const uint64_t fleet : { 1000U, 4000U }) {
-    for (uint64_t number = 1; number <= fleet; ++number) {
+  constexpr uint64_t kSubscribers = 100;
+  for (const uint64_t instances : { 1000U, 4000U }) {
+    for (uint64_t number = 1; number <= instances; ++number) {
       Apply(PutInstance(number));
     }
-    const uint64_t before = server.Encodings();
-    for (uint64_t comer = 0; comer < kComers; ++comer) {
+    const uint64_t before = server.SnapshotsEncoded();
+    for (uint64_t subscriber = 0; subscriber < kSubscribers; ++subscriber) {
       static_cast<void>(Subscribe());
-      for (uint64_t number = 1; number <= fleet / kComers; ++number) {
+      for (uint64_t number = 1; number <= instances / kSubscribers; ++number) {
         Apply(PutInstance(number));
       }
       server.CloseAll();
     }
-    EXPECT_LE(server.Encodings() - before, 8U);
+    EXPECT_LE(server.SnapshotsEncoded() - before, 8U);
   }
 }
 
-// Guards against a large state that is encoded anew for each of the hosts that
-// are restarted one after the other.
-TEST_F(FeedServerTest, WholeStateIsKeptBetweenRestarts)
+// Failure: during a rolling restart, a large state is encoded again for every
+// host.
+TEST_F(FeedServerTest, SnapshotStaysCachedDuringARollingRestart)
 {
   for (uint64_t number = 1; number <= 1000; ++number) {
     Apply(PutInstance(number));
   }
-  for (int comer = 0; comer < 20; ++comer) {
+  for (int subscriber = 0; subscriber < 20; ++subscriber) {
     static_cast<void>(Subscribe());
     server.CloseAll();
     server.Ping({}, Duration::zero());
     server.Ping({}, Duration::zero());
   }
-  EXPECT_EQ(server.Encodings(), 1U);
+  EXPECT_EQ(server.SnapshotsEncoded(), 1U);
 }
 
-TEST_F(FeedServerTest, EntriesAreNotSentHandovers)
+TEST_F(FeedServerTest, HandoversAreNotSentToEntryHosts)
 {
   Apply(PutInstance(1));
   wire::GatewayCommand grant;
@@ -246,31 +248,33 @@
   free.mutable_free_ranges()->set_holder("i-1");
   *free.mutable_free_ranges()->add_ranges() = *range;
   free.mutable_free_ranges()->mutable_ranges(0)->set_handover("secret");
-  const auto early = Subscribe();
+  const auto existing = Subscribe();
   Apply(free);
-  const auto late = Subscribe();
+  const auto joining = Subscribe();
   Run();
-  for (const auto& subscriber : { early, late }) {
-    EXPECT_TRUE(subscriber->Known().Ranges("desk")->Find(5).holder().empty());
+  for (const auto& subscriber : { existing, joining }) {
+    EXPECT_TRUE(
+      subscriber->CurrentState().Ranges("desk")->Find(5).holder().empty());
     for (const std::string& bytes : subscriber->frames) {
       EXPECT_EQ(bytes.find("secret"), std::string::npos);
     }
   }
 }
 
-// The configuration grows by 1,400 routes. An entry host on a slow link answers
-// nobody until they have come over it; it gets them, and later the whole state,
-// in a third of their size. A host of an older version, which does not read
-// that, gets them as before, and all end at the same state.
-TEST_F(FeedServerTest, LargeChangeIsShortForThoseWhoReadItPacked)
+// The configuration grows by 1,400 routes, and an entry host on a slow link
+// can't serve callers until it has received them. A subscriber that supports
+// compression gets the change, and later the snapshot, in a third of the size.
+// A host of an older version gets them uncompressed. All arrive at the same
+// state.
+TEST_F(FeedServerTest, LargeChangeIsCompressedForSubscribersThatSupportIt)
 {
   wire::GatewayCommand change;
   *change.mutable_change_items() = testing::LargeChange(1400);
   change.mutable_change_items()->add_services()->set_name("desk");
   const auto plain = Subscribe(false);
-  const auto packed = Subscribe(true);
+  const auto compressed = Subscribe(true);
   Apply(change);
-  const auto late = Subscribe(true);
+  const auto joining = Subscribe(true);
   Run();
   const auto bytes = [](const Subscriber& aSubscriber) {
     size_t sum = 0;
@@ -279,22 +283,22 @@
     }
     return sum;
   };
-  EXPECT_LE(bytes(*packed) * 3, bytes(*plain));
-  EXPECT_LE(bytes(*late) * 3, bytes(*plain));
-  for (const auto& subscriber : { plain, packed, late }) {
-    EXPECT_EQ(subscriber->Known().Items().Routes().size(), 1400U);
+  EXPECT_LE(bytes(*compressed) * 3, bytes(*plain));
+  EXPECT_LE(bytes(*joining) * 3, bytes(*plain));
+  for (const auto& subscriber : { plain, compressed, joining }) {
+    EXPECT_EQ(subscriber->CurrentState().Items().Routes().size(), 1400U);
   }
 }
 
-// A large change comes while nobody subscribes. Who comes back afterwards, with
-// the state of just before it, must not miss it.
-TEST_F(FeedServerTest, WhoWasAwayDuringALargeChangeGetsIt)
+// A large change is applied while there are no subscribers, and is not kept. A
+// subscriber that reconnects with the state before it must still receive it.
+TEST_F(FeedServerTest, SubscriberThatReconnectsAfterALargeChangeGetsIt)
 {
   Apply(PutInstance(1));
   const auto before = Subscribe();
   Run();
   const uint64_t known = index;
-  server.Close(before->near);
+  server.Unsubscribe(before->near);
   wire::GatewayCommand change;
   *change.mutable_change_items() = testing::LargeChange(1400);
   change.mutable_change_items()->add_services()->set_name("desk");
@@ -302,14 +306,14 @@
   Apply(PutInstance(2));
   wire::FeedOpen open;
   open.set_applied(known);
-  server.Open(before->near, open);
+  server.Subscribe(before->near, open);
   Run();
-  EXPECT_EQ(before->Known().Items().Routes().size(), 1400U);
-  EXPECT_EQ(before->Known().Instances().size(), 2U);
+  EXPECT_EQ(before->CurrentState().Items().Routes().size(), 1400U);
+  EXPECT_EQ(before->CurrentState().Instances().size(), 2U);
 }
 
-/// A control host whose whole state takes longer to arrive than an entry bears
-/// silence.
+/// A control host that takes longer to send its snapshot than the client's ping
+/// timeout.
 class SlowControlHost
 {
 public:
@@ -322,11 +326,11 @@
     for (uint64_t number = 1; number <= 50; ++number) {
       static_cast<void>(state.Apply(PutInstance(number), LogIndex{ number }));
     }
-    wire::GatewayFrame whole;
-    *whole.mutable_feed_snapshot()->mutable_state() = state.Save();
+    wire::GatewayFrame snapshot;
+    *snapshot.mutable_feed_snapshot()->mutable_state() = state.Save();
     wire::GatewayFrame ping;
     ping.mutable_feed_ping()->set_applied(state.Applied().value);
-    mBytes = Framed(whole) + Framed(ping);
+    mBytes = Framed(snapshot) + Framed(ping);
     Accept();
   }
 
@@ -367,7 +371,7 @@
     constexpr size_t kPieces = 10;
     const size_t size =
       std::min(mBytes.size() / kPieces + 1, mBytes.size() - mSent);
-    boost::system::error_code ignored; // The client's end is what is judged.
+    boost::system::error_code ignored; // The test checks the client only.
     asio::write(mSocket, asio::buffer(mBytes.data() + mSent, size), ignored);
     mSent += size;
     if (mSent < mBytes.size()) {
@@ -388,9 +392,9 @@
   size_t mConnections = 0;
 };
 
-// Over a slow link a whole state takes a second. The entry must not give up in
-// the middle: it would ask again and again, and never know any configuration.
-TEST(FeedClient, WholeStateUnderWayIsNoSilence)
+// Failure: a snapshot takes a second over a slow link. The client times out in
+// the middle, requests it again and again, and never gets a configuration.
+TEST(FeedClient, SnapshotInTransitDoesNotTimeOut)
 {
   asio::io_context context;
   SlowControlHost host(context);
@@ -404,11 +408,11 @@
   client.Start();
   context.run_for(milliseconds{ 1600 });
   EXPECT_EQ(host.Connections(), 1U);
-  EXPECT_EQ(client.Known().Instances().size(), 50U);
+  EXPECT_EQ(client.CurrentState().Instances().size(), 50U);
   client.Stop();
 }
 
-/// A control host that serves whoever comes.
+/// A control host that accepts any subscriber.
 class ServingControlHost
 {
 public:
@@ -424,7 +428,7 @@
     return "127.0.0.1:" + std::to_string(mAcceptor.local_endpoint().port());
   }
 
-  size_t Subscribers() const { return mServer.Entries().size(); }
+  size_t Subscribers() const { return mServer.ServingEntries().size(); }
 
   void Ping(const std::vector<std::string>& aHosts)
   {
@@ -445,10 +449,10 @@
            wire::GatewayFrame frame;
            frame.ParseFromArray(aMessage.data(),
                                 static_cast<int>(aMessage.size()));
-           mServer.Open(raw->shared_from_this(), frame.feed_open());
+           mServer.Subscribe(raw->shared_from_this(), frame.feed_open());
          },
           [this, raw = connection.get()] {
-            mServer.Close(raw->shared_from_this());
+            mServer.Unsubscribe(raw->shared_from_this());
           },
           {} });
       Accept();
@@ -459,23 +463,26 @@
   FeedServer mServer;
 };
 
-// Guards against entries that are fed from another data centre for as long as
-// they live, because that is where they asked first.
-TEST(FeedClientTest, EntryMovesToAControlHostNearby)
+// Failure: a client stays connected to a control host in another data centre
+// because it tried that one first.
+TEST(FeedClientTest, ClientMovesToAControlHostInItsDataCentre)
 {
   asio::io_context context;
   State state;
   ServingControlHost far(context, state);
   ServingControlHost near(context, state);
-  const auto place = [&](const std::string& aHost, const char* aDataCentre) {
+  const auto putControlHost = [&](const std::string& aHost,
+                                  const char* aDataCentre) {
     wire::GatewayCommand command;
     command.mutable_put_control()->mutable_control()->set_address(aHost);
     command.mutable_put_control()->mutable_control()->set_data_centre(
       aDataCentre);
     return command;
   };
-  ASSERT_TRUE(state.Apply(place(far.Address(), "north"), LogIndex{ 1 }));
-  ASSERT_TRUE(state.Apply(place(near.Address(), "south"), LogIndex{ 2 }));
+  ASSERT_TRUE(
+    state.Apply(putControlHost(far.Address(), "north"), LogIndex{ 1 }));
+  ASSERT_TRUE(
+    state.Apply(putControlHost(near.Address(), "south"), LogIndex{ 2 }));
   wire::EntryMember self;
   self.set_address("127.0.0.1:1");
   self.set_data_centre("south");
@@ -498,9 +505,9 @@
   client.Stop();
 }
 
-// A control host that is not sure of its state sends an entry away, four times
-// in a row. The entry asks again by itself each time until it is served.
-TEST(FeedClientTest, EntryThatIsSentAwayAsksAgain)
+// A control host that is not up to date closes the client's connection four
+// times in a row. The client reconnects each time until it is served.
+TEST(FeedClientTest, ClientReconnectsAfterItsConnectionIsClosed)
 {
   asio::io_context context;
   tcp::acceptor acceptor(context, { asio::ip::make_address("127.0.0.1"), 0 });
@@ -510,19 +517,19 @@
   ASSERT_TRUE(state.Apply(PutInstance(1), LogIndex{ 1 }));
   FeedServer server(state);
   std::shared_ptr<net::FrameConnection> served;
-  int sentAway = 0;
+  int closedConnections = 0;
   std::function<void()> accept = [&] {
     acceptor.async_accept([&](auto aError, tcp::socket aSocket) {
       if (aError || served) {
         return;
       }
-      if (sentAway < 4) {
-        ++sentAway;
+      if (closedConnections < 4) {
+        ++closedConnections;
         aSocket.close();
       } else {
         served = std::make_shared<net::FrameConnection>(std::move(aSocket));
         served->Start({ [](auto) {}, [] {}, {} });
-        server.Open(served, {});
+        server.Subscribe(served, {});
       }
       accept();
     });
@@ -538,7 +545,7 @@
     7);
   client.Start();
   context.run();
-  EXPECT_EQ(sentAway, 4);
+  EXPECT_EQ(closedConnections, 4);
   EXPECT_TRUE(client.HasState());
 }
 
--- a/src/librattandyke/gateway/request_handler.cpp
+++ b/src/librattandyke/gateway/request_handler.cpp
@@ -4,7 +4,7 @@
 #include <charconv>
 #include <cstdio>
 
-#include "gateway/load_map.h"
+#include "gateway/key_load_map.h"
 #include "gateway/retry_share.h"
 #include "http/headers.h"
 #include "http/signal.h"
@@ -24,38 +24,44 @@
 constexpr unsigned kUnavailable = 503;
 constexpr unsigned kGatewayTimeout = 504;
 
-/// Part of a request's objective for which it waits for an upstream that has
-/// room, or for its key's next owner. What waits longer seldom makes it in
-/// time; refused, its caller can use the time to come back.
-constexpr double kWaitPart = 0.6;
-/// Part of its time for which a request waits for the first state. With the
-/// caller's own pause of a third of the rest, and a second wait, a state that
-/// comes within two thirds of its time is not too late.
-constexpr double kStateWaitPart = 0.3;
+/// Share of a route's latency objective for which a request waits for a slot or
+/// for an owner of its key. A request that waits longer is seldom in time; if
+/// it is rejected, its caller can use the remaining time for a retry.
+constexpr double kMaxWaitShare = 0.6;
+/// Share of its timeout for which a request waits for the first state. A
+/// rejected caller pauses for a third of the remaining time, and its second
+/// request waits again: a state that arrives within two thirds of the timeout
+/// is early enough.
+constexpr double kMaxStateWaitShare = 0.3;
+/// Retry-After values, by the reason for which a request has not run.
 constexpr milliseconds kRetryAfterFull{ 150 };
 constexpr milliseconds kRetryAfterNoOwner{ 400 };
 constexpr milliseconds kRetryAfterNoState{ 300 };
-/// A try with less time than this is not begun.
-constexpr milliseconds kLeastTry{ 15 };
-/// Time kept for the way back to the caller.
-constexpr milliseconds kWayBack{ 4 };
-/// Of an answer from this host to its caller.
-constexpr milliseconds kWayToCaller{ 15 };
-/// Without a deadline of the caller's.
-constexpr milliseconds kDefaultDeadline{ 10000 };
-/// Tries of which nothing was sent.
-constexpr int kMaxUnsent = 6;
-/// Before the first configuration tells.
-constexpr milliseconds kDefaultIdle{ 15000 };
+/// Remaining time below which a request is not retried and waits for no slot.
+constexpr milliseconds kMinAttemptTime{ 15 };
+/// Time reserved for the response on its way to the caller, not available to
+/// the upstream.
+constexpr milliseconds kReturnMargin{ 4 };
+/// Transfer time of a response from this host to its caller, subtracted from
+/// the deadline for writing it.
+constexpr milliseconds kCallerDeliveryTime{ 15 };
+/// Timeout of a request without a deadline header.
+constexpr milliseconds kDefaultTimeout{ 10000 };
+/// Maximum number of attempts of a request in which nothing was sent, including
+/// changes of its key's owner while it waited for a slot.
+constexpr int kMaxUnsentAttempts = 6;
+/// Limits for callers where the configuration sets none.
+constexpr milliseconds kDefaultIdleTimeout{ 15000 };
 constexpr uint32_t kDefaultHeaderBytes = 16384;
 constexpr uint64_t kDefaultBodyBytes = uint64_t{ 64 } * 1024 * 1024;
 
 log::Line
-Line(const std::string& aId)
+LogLine(const std::string& aId)
 {
   return { log::Part::Entry, log::Severity::Info, aId };
 }
 
+/// @return the number, nullopt if the text is not a decimal number.
 std::optional<uint64_t>
 ParseNumber(std::string_view aText)
 {
@@ -77,8 +83,9 @@
                                                       : aHost.substr(0, colon);
 }
 
+/// @return seconds with three decimals.
 std::string
-Seconds(Duration aTime)
+FormatSeconds(Duration aTime)
 {
   char text[32];
   const double seconds = std::chrono::duration<double>(aTime).count();
@@ -87,44 +94,45 @@
 }
 
 int64_t
-Ms(Duration aTime)
+Milliseconds(Duration aTime)
 {
   return std::chrono::duration_cast<milliseconds>(aTime).count();
 }
 
 std::string_view
-TryLabel(ExchangeResult::Kind aKind)
+AttemptLabel(AttemptResult::Kind aKind)
 {
   switch (aKind) {
-    case ExchangeResult::Kind::Answer:
+    case AttemptResult::Kind::Response:
       return "end=\"answer\"";
-    case ExchangeResult::Kind::NotRun:
+    case AttemptResult::Kind::NotExecuted:
       return "end=\"not_run\"";
-    case ExchangeResult::Kind::NotSent:
+    case AttemptResult::Kind::NotSent:
       return "end=\"not_sent\"";
-    case ExchangeResult::Kind::Unknown:
+    case AttemptResult::Kind::OutcomeUnknown:
       return "end=\"unknown\"";
   }
   return {};
 }
 
-TryEnd
-EndOf(const ExchangeResult& aResult, bool aAbandoned)
+AttemptOutcome
+ToAttemptOutcome(const AttemptResult& aResult, bool aAbandoned)
 {
   if (aAbandoned) {
-    return TryEnd::Abandoned;
+    return AttemptOutcome::Abandoned;
   }
   switch (aResult.kind) {
-    case ExchangeResult::Kind::Answer:
-      return TryEnd::Answered;
-    case ExchangeResult::Kind::NotRun:
-      return TryEnd::Refused;
-    case ExchangeResult::Kind::NotSent:
-      return TryEnd::Unreachable;
-    case ExchangeResult::Kind::Unknown:
-      return aResult.silent ? TryEnd::Silent : TryEnd::Broken;
+    case AttemptResult::Kind::Response:
+      return AttemptOutcome::Answered;
+    case AttemptResult::Kind::NotExecuted:
+      return AttemptOutcome::Refused;
+    case AttemptResult::Kind::NotSent:
+      return AttemptOutcome::Unreachable;
+    case AttemptResult::Kind::OutcomeUnknown:
+      return aResult.cancelled ? AttemptOutcome::TimedOut
+                               : AttemptOutcome::Broken;
   }
-  return TryEnd::Abandoned;
+  return AttemptOutcome::Abandoned;
 }
 
 } // namespace
@@ -132,7 +140,7 @@
 RequestHandler::RequestHandler(asio::any_io_executor aExecutor,
                                Options aOptions,
                                const FeedClient& aFeed,
-                               SlotDesk& aDesk,
+                               SlotCoordinator& aSlots,
                                const Dialect& aDialect,
                                const Clock& aClock)
   : mExecutor(aExecutor)
@@ -141,10 +149,10 @@
   , mDialect(aDialect)
   , mHeaders(aDialect.Headers())
   , mClock(aClock)
-  , mDesk(aDesk)
-  , mExchanger(aExecutor, mHeaders, aClock)
-  , mLink(mOptions.linkBytesPerSecond)
-  , mEgress(mOptions.linkBytesPerSecond)
+  , mSlots(aSlots)
+  , mUpstreamClient(aExecutor, mHeaders, aClock)
+  , mLinkBudget(mOptions.linkBytesPerSecond)
+  , mEgressQueue(mOptions.linkBytesPerSecond)
   , mEgressTimer(std::move(aExecutor))
 {
 }
@@ -152,7 +160,7 @@
 void
 RequestHandler::StateChanged(const wire::GatewayCommand* aCommand)
 {
-  const ItemTable& items = mFeed.Known().Items();
+  const ItemTable& items = mFeed.CurrentState().Items();
   if (aCommand == nullptr) {
     mRoutes.Update(items);
   } else if (aCommand->has_change_items()) {
@@ -166,22 +174,22 @@
 {
   for (const auto& waiter : mWaiters) {
     if (const auto context = waiter.lock()) {
-      context->Wake().cancel();
+      context->WakeTimer().cancel();
     }
   }
 }
 
 void
-RequestHandler::NoteKey(const std::string& aService, uint32_t aKey)
+RequestHandler::CountKeyRequest(const std::string& aService, uint32_t aKey)
 {
-  ++mKeyLoads[aService][aKey / kKeysPerBucket];
+  ++mKeyRequests[aService][aKey / kKeysPerBucket];
 }
 
 wire::FeedReport
-RequestHandler::TakeLoads()
+RequestHandler::TakeLoadReport()
 {
   wire::FeedReport report;
-  for (const auto& [service, buckets] : mKeyLoads) {
+  for (const auto& [service, buckets] : mKeyRequests) {
     wire::RangeLoad* load = report.add_loads();
     load->set_service(service);
     for (const auto& [bucket, requests] : buckets) {
@@ -189,8 +197,8 @@
       load->add_requests(requests);
     }
   }
-  mKeyLoads.clear();
-  for (const auto& [instance, seconds] : mDesk.TakeNewTimes()) {
+  mKeyRequests.clear();
+  for (const auto& [instance, seconds] : mSlots.TakeChangedResponseSeconds()) {
     wire::InstanceTime* time = report.add_times();
     time->set_instance(instance);
     time->set_seconds(seconds);
@@ -201,8 +209,8 @@
 void
 RequestHandler::Sweep()
 {
-  const State& state = mFeed.Known();
-  mExchanger.Pool().Sweep(mClock.Now(), [&](const std::string& aInstance) {
+  const State& state = mFeed.CurrentState();
+  mUpstreamClient.Pool().Sweep(mClock.Now(), [&](const std::string& aInstance) {
     return state.FindInstance(aInstance) != nullptr;
   });
 }
@@ -210,18 +218,18 @@
 bool
 RequestHandler::OwnsKeys(const std::string& aService) const
 {
-  const auto& services = mFeed.Known().Items().Services();
+  const auto& services = mFeed.CurrentState().Items().Services();
   const auto found = services.find(aService);
   return found != services.end() && found->second.owns_keys();
 }
 
 entry::RetryBudget&
-RequestHandler::BudgetOf(const std::string& aService)
+RequestHandler::RetryBudgetOf(const std::string& aService)
 {
-  auto& budget = mBudgets[aService];
+  auto& budget = mRetryBudgets[aService];
   const entry::RetryBudget::Settings share =
-    ShareOf({ mOptions.retryRatio, mOptions.retrySlack },
-            mFeed.Known().Entries().size());
+    RetryShareOf({ mOptions.retryRatio, mOptions.retryBurst },
+                 mFeed.CurrentState().Entries().size());
   if (!budget) {
     budget = std::make_unique<entry::RetryBudget>(share);
   }
@@ -229,418 +237,446 @@
   return *budget;
 }
 
-std::shared_ptr<const OutgoingRequest>
-RequestHandler::Outgoing(const CallerRequest& aRequest,
-                         const std::string& aId) const
+std::shared_ptr<const UpstreamRequest>
+RequestHandler::MakeUpstreamRequest(const CallerRequest& aRequest,
+                                    const std::string& aId) const
 {
-  auto outgoing = std::make_shared<OutgoingRequest>();
-  outgoing->method = aRequest.method;
-  outgoing->target = aRequest.target;
-  outgoing->body = aRequest.body;
-  outgoing->hasBody = aRequest.hasBody;
-  outgoing->requestId = aId;
+  auto upstreamRequest = std::make_shared<UpstreamRequest>();
+  upstreamRequest->method = aRequest.method;
+  upstreamRequest->target = aRequest.target;
+  upstreamRequest->body = aRequest.body;
+  upstreamRequest->hasBody = aRequest.hasBody;
+  upstreamRequest->requestId = aId;
   http::ForEachEndToEnd(
     aRequest.fields, [&](std::string_view aName, std::string_view aValue) {
-      const bool ownField =
+      const bool notForwarded =
         boost::beast::iequals(aName, mHeaders.deadline) ||
         boost::beast::iequals(aName, mHeaders.expectedInstance) ||
         boost::beast::iequals(aName, "Expect");
-      if (!ownField) {
-        http::AppendField(outgoing->fields, aName, aValue);
+      if (!notForwarded) {
+        http::AppendField(upstreamRequest->fields, aName, aValue);
       }
     });
-  return outgoing;
+  return upstreamRequest;
 }
 
 CallerLimits
 RequestHandler::Limits() const
 {
-  const wire::LimitsItem& limits = mFeed.Known().Items().Limits();
+  const wire::LimitsItem& limits = mFeed.CurrentState().Items().Limits();
   const auto orElse = [](auto aValue, auto aDefault) {
     return aValue == 0 ? aDefault : aValue;
   };
   return { orElse(limits.max_header_bytes(), kDefaultHeaderBytes),
            orElse(limits.max_body_bytes(), kDefaultBodyBytes),
            limits.idle_timeout_ms() == 0
-             ? Duration(kDefaultIdle)
+             ? Duration(kDefaultIdleTimeout)
              : Duration(milliseconds(limits.idle_timeout_ms())) };
 }
 
 std::string
-RequestHandler::IdOf(const CallerRequest& aRequest) const
+RequestHandler::RequestIdOf(const CallerRequest& aRequest) const
 {
   return std::string(http::FieldOf(aRequest.fields, mHeaders.requestId));
 }
 
 void
-RequestHandler::CountEnd(std::string_view aReason)
+RequestHandler::CountClosedConnection(std::string_view aReason)
 {
-  mMetrics.Count("connections_ended",
-                 "reason=\"" + std::string(aReason) + "\"");
+  mMetrics.Increment("connections_ended",
+                     "reason=\"" + std::string(aReason) + "\"");
 }
 
-asio::awaitable<CallerAnswer>
+asio::awaitable<CallerResponse>
 RequestHandler::Handle(std::shared_ptr<RequestContext> aContext,
                        CallerRequest aRequest)
 {
   const Instant arrived = aRequest.arrived;
-  mLink.NoteReceived(aRequest.body.size() + kRequestLine, arrived);
-  CallerAnswer answer = co_await Answer(aContext, std::move(aRequest));
-  const size_t bytes = answer.fields.size() + answer.body.size();
-  if (answer.due > Instant{}) {
-    co_await AwaitEgress(std::move(aContext), bytes, answer.due);
+  mLinkBudget.RecordReceived(aRequest.body.size() + kRequestLineBytes, arrived);
+  CallerResponse response =
+    co_await RouteRequest(aContext, std::move(aRequest));
+  const size_t bytes = response.fields.size() + response.body.size();
+  if (response.sendBy > Instant{}) {
+    co_await AwaitSendTurn(std::move(aContext), bytes, response.sendBy);
   } else {
-    NoteSent(bytes);
+    RecordSent(bytes);
   }
-  mMetrics.Count("requests",
-                 "status=\"" + std::to_string(answer.status) + "\"");
+  mMetrics.Increment("requests",
+                     "status=\"" + std::to_string(response.status) + "\"");
   mMetrics.Observe("request", mClock.Now() - arrived);
-  co_return answer;
+  co_return response;
 }
 
 std::string
 RequestHandler::MetricsPage()
 {
-  const State& state = mFeed.Known();
+  const State& state = mFeed.CurrentState();
   mMetrics.Set("state_index", static_cast<double>(state.Applied().value));
   mMetrics.Set("state_age_seconds",
-               std::chrono::duration<double>(mFeed.Age()).count());
+               std::chrono::duration<double>(mFeed.StateAge()).count());
   mMetrics.Set("entries", static_cast<double>(state.Entries().size()));
   mMetrics.Set("upstreams", static_cast<double>(state.Instances().size()));
-  mMetrics.Set("upstream_connects", static_cast<double>(mExchanger.Connects()));
-  return mMetrics.Page();
+  mMetrics.Set("upstream_connects",
+               static_cast<double>(mUpstreamClient.ConnectionsOpened()));
+  return mMetrics.PrometheusText();
 }
 
-asio::awaitable<CallerAnswer>
-RequestHandler::Answer(std::shared_ptr<RequestContext> aContext,
-                       CallerRequest aRequest)
+asio::awaitable<CallerResponse>
+RequestHandler::RouteRequest(std::shared_ptr<RequestContext> aContext,
+                             CallerRequest aRequest)
 {
-  const std::string id = IdOf(aRequest);
-  const auto asked =
+  const std::string id = RequestIdOf(aRequest);
+  const auto requestedMs =
     ParseNumber(http::FieldOf(aRequest.fields, mHeaders.deadline));
-  const Duration wait = milliseconds(
-    asked ? static_cast<int64_t>(std::min<uint64_t>(*asked, 3'600'000))
-          : kDefaultDeadline.count());
-  co_await AwaitState(aContext,
-                      aRequest.arrived + Scaled(wait, kStateWaitPart));
+  const Duration timeout = milliseconds(
+    requestedMs
+      ? static_cast<int64_t>(std::min<uint64_t>(*requestedMs, 3'600'000))
+      : kDefaultTimeout.count());
+  co_await AwaitFirstState(
+    aContext, aRequest.arrived + Scaled(timeout, kMaxStateWaitShare));
   if (!HasState()) {
-    co_return Own(kUnavailable,
-                  id,
-                  "no configuration is known yet",
-                  Duration(kRetryAfterNoState));
+    co_return MakeResponse(kUnavailable,
+                           id,
+                           "this host has received no configuration yet",
+                           Duration(kRetryAfterNoState));
   }
   if (id.empty()) {
-    co_return Own(kBadRequest, id, "the request has no id");
+    co_return MakeResponse(kBadRequest, id, "the request id header is missing");
   }
   const std::string_view host =
     WithoutPort(http::FieldOf(aRequest.fields, "Host"));
   const std::string_view path =
     std::string_view(aRequest.target)
       .substr(0, aRequest.target.find_first_of("?#"));
-  Flow flow;
-  flow.route = mRoutes.Find(host, path);
-  if (!flow.route) {
-    Line(id) << "no route host=" << host << " path=" << path
-             << " index=" << mFeed.Known().Applied().value
-             << " age_ms=" << Ms(mFeed.Age());
-    co_return Own(kNotFound, id, "no route matches");
+  RequestProgress progress;
+  progress.route = mRoutes.Find(host, path);
+  if (!progress.route) {
+    LogLine(id) << "no route matches the request host=" << host
+                << " path=" << path
+                << " index=" << mFeed.CurrentState().Applied().value
+                << " age_ms=" << Milliseconds(mFeed.StateAge());
+    co_return MakeResponse(kNotFound, id, "no route matches the request");
   }
-  flow.context = std::move(aContext);
-  flow.service = NextService(*flow.route);
-  flow.arrived = aRequest.arrived;
-  flow.deadline = flow.arrived + std::min(wait, Duration(flow.route->timeout));
-  if (OwnsKeys(flow.service)) {
+  progress.context = std::move(aContext);
+  progress.service = NextService(*progress.route);
+  progress.arrived = aRequest.arrived;
+  progress.deadline =
+    progress.arrived + std::min(timeout, Duration(progress.route->timeout));
+  if (OwnsKeys(progress.service)) {
     const auto key = ParseNumber(http::FieldOf(aRequest.fields, mHeaders.key));
     if (!key || *key > kMaxKey) {
-      co_return Own(kBadRequest, id, "the request has no key");
+      co_return MakeResponse(
+        kBadRequest, id, "the key header is missing or invalid");
     }
-    flow.key = static_cast<uint32_t>(*key);
-    NoteKey(flow.service, *flow.key);
+    progress.key = static_cast<uint32_t>(*key);
+    CountKeyRequest(progress.service, *progress.key);
   }
-  flow.request = Outgoing(aRequest, id);
-  co_return co_await RunIfRoom(flow);
+  progress.request = MakeUpstreamRequest(aRequest, id);
+  co_return co_await RunIfLinkAdmits(progress);
 }
 
 bool
 RequestHandler::HasState() const
 {
-  return mFeed.HasState() && !mFeed.Known().Items().IsEmpty();
+  return mFeed.HasState() && !mFeed.CurrentState().Items().IsEmpty();
 }
 
 asio::awaitable<void>
-RequestHandler::AwaitChange(std::shared_ptr<RequestContext> aContext,
-                            Instant aUntil)
+RequestHandler::AwaitStateChange(std::shared_ptr<RequestContext> aContext,
+                                 Instant aUntil)
 {
-  const auto place = mWaiters.insert(mWaiters.end(), aContext);
-  aContext->Wake().expires_after(aUntil - mClock.Now());
-  co_await aContext->Wake().async_wait(kAwait);
-  mWaiters.erase(place);
+  const auto waiter = mWaiters.insert(mWaiters.end(), aContext);
+  aContext->WakeTimer().expires_after(aUntil - mClock.Now());
+  co_await aContext->WakeTimer().async_wait(kAwait);
+  mWaiters.erase(waiter);
 }
 
-/// Safeguard: after all hosts were down, an entry has callers some tenths of a
-/// second before it has the state. Refused at once they come back once, within
-/// a third of the time they have left, and are refused again; kept for a part
-/// of it they are served, late.
+/// After a failure of all hosts, an entry receives requests some tenths of a
+/// second before it has the state. A caller that is rejected at once retries
+/// only once, within a third of its remaining time, and is rejected again. A
+/// request that waits for a part of its time is served, though late.
 asio::awaitable<void>
-RequestHandler::AwaitState(std::shared_ptr<RequestContext> aContext,
-                           Instant aUntil)
+RequestHandler::AwaitFirstState(std::shared_ptr<RequestContext> aContext,
+                                Instant aUntil)
 {
-  while (!HasState() && !aContext->IsOver() && mClock.Now() < aUntil) {
-    co_await AwaitChange(aContext, aUntil);
+  while (!HasState() && !aContext->IsCancelled() && mClock.Now() < aUntil) {
+    co_await AwaitStateChange(aContext, aUntil);
   }
 }
 
 asio::awaitable<std::string>
-RequestHandler::AwaitOwner(Flow& aFlow)
+RequestHandler::AwaitOwner(RequestProgress& aProgress)
 {
-  const Instant giveUp = PatienceEnd(aFlow);
+  const Instant deadline = WaitDeadline(aProgress);
   for (;;) {
     const Instant now = mClock.Now();
-    std::string owner = mDesk.Broker().Upstreams().OwnerOf(
-      mFeed.Known(), aFlow.service, *aFlow.key, now);
-    // Without an upstream that could take the key there is nothing to wait for.
-    const bool vain = !mDesk.Broker().Upstreams().CanServe(aFlow.service);
-    if (!owner.empty() || vain || now >= giveUp || aFlow.context->IsOver()) {
+    std::string owner = mSlots.Broker().Upstreams().OwnerOf(
+      mFeed.CurrentState(), aProgress.service, *aProgress.key, now);
+    // If no instance may be sent requests, no owner is to be expected.
+    const bool noUpstream =
+      !mSlots.Broker().Upstreams().CanServe(aProgress.service);
+    if (!owner.empty() || noUpstream || now >= deadline ||
+        aProgress.context->IsCancelled()) {
       co_return owner;
     }
-    co_await AwaitChange(aFlow.context, giveUp);
+    co_await AwaitStateChange(aProgress.context, deadline);
   }
 }
 
 Instant
-RequestHandler::PatienceEnd(const Flow& aFlow) const
+RequestHandler::WaitDeadline(const RequestProgress& aProgress) const
 {
-  const auto patience =
-    std::chrono::duration_cast<Duration>(aFlow.route->objective * kWaitPart);
-  return std::min(aFlow.arrived + patience,
-                  aFlow.deadline - Duration(kLeastTry));
+  const auto maxWait = std::chrono::duration_cast<Duration>(
+    aProgress.route->objective * kMaxWaitShare);
+  return std::min(aProgress.arrived + maxWait,
+                  aProgress.deadline - Duration(kMinAttemptTime));
 }
 
-/// @return whether its key has another owner than the one that it waited for,
-/// or will have one, and there is time to ask that one.
 bool
-RequestHandler::HasMoved(const Flow& aFlow) const
+RequestHandler::HasOwnerChanged(const RequestProgress& aProgress) const
 {
-  if (aFlow.owner.empty() || mClock.Now() >= PatienceEnd(aFlow)) {
+  if (aProgress.owner.empty() || mClock.Now() >= WaitDeadline(aProgress)) {
     return false;
   }
-  return mDesk.Broker().Upstreams().OwnerOf(
-           mFeed.Known(), aFlow.service, *aFlow.key, mClock.Now()) !=
-         aFlow.owner;
+  return mSlots.Broker().Upstreams().OwnerOf(mFeed.CurrentState(),
+                                             aProgress.service,
+                                             *aProgress.key,
+                                             mClock.Now()) != aProgress.owner;
 }
 
 asio::awaitable<SlotOutcome>
-RequestHandler::AwaitSlot(Flow& aFlow)
+RequestHandler::AcquireSlot(RequestProgress& aProgress)
 {
   SlotRequest request;
-  request.service = aFlow.service;
-  if (aFlow.key) {
-    request.instance = co_await AwaitOwner(aFlow);
-    aFlow.owner = request.instance;
+  request.service = aProgress.service;
+  if (aProgress.key) {
+    request.instance = co_await AwaitOwner(aProgress);
+    aProgress.owner = request.instance;
     if (request.instance.empty()) {
-      co_return NoSlot{ UpstreamSet::Hindrance::NoOwner,
-                        Duration(kRetryAfterNoOwner) };
+      co_return SlotUnavailable{ UpstreamSet::UnavailableReason::NoOwner,
+                                 Duration(kRetryAfterNoOwner) };
     }
   } else {
-    request.excluded = aFlow.tried;
+    request.excluded = aProgress.attempted;
   }
   const Instant now = mClock.Now();
-  mMetrics.Observe("owner_wait", now - aFlow.arrived);
-  request.priority = aFlow.route->priority;
-  request.patience = std::max(PatienceEnd(aFlow) - now, Duration::zero());
-  request.aim = std::max<Duration>(
-    aFlow.arrived + Duration(aFlow.route->objective) - now, milliseconds{ 1 });
-  request.held = std::max(aFlow.deadline - now, Duration::zero());
+  mMetrics.Observe("owner_wait", now - aProgress.arrived);
+  request.priority = aProgress.route->priority;
+  request.maxWait = std::max(WaitDeadline(aProgress) - now, Duration::zero());
+  request.timeToObjective = std::max<Duration>(
+    aProgress.arrived + Duration(aProgress.route->objective) - now,
+    milliseconds{ 1 });
+  request.maxHold = std::max(aProgress.deadline - now, Duration::zero());
   request.dataCentre = mOptions.dataCentre;
-  co_return co_await mDesk.Acquire(aFlow.context, std::move(request));
+  co_return co_await mSlots.Acquire(aProgress.context, std::move(request));
 }
 
-asio::awaitable<ExchangeResult>
-RequestHandler::Try(Flow& aFlow, const Slot& aSlot)
+asio::awaitable<AttemptResult>
+RequestHandler::RunAttempt(RequestProgress& aProgress, const Slot& aSlot)
 {
   const Slot slot = aSlot;
-  auto handle = std::make_shared<ExchangeHandle>();
-  aFlow.context->Attach(handle);
-  const Duration left = aFlow.deadline - mClock.Now() - Duration(kWayBack);
-  // Named: a braced temporary in an awaited call is destroyed twice by the
-  // compiler that Debian 12 has.
-  NoteSent(BytesOf(*aFlow.request));
-  const UpstreamPeer peer{ slot.instance, slot.address, slot.life };
-  ExchangeResult result =
-    co_await mExchanger.Run(peer, aFlow.request, left, handle);
-  aFlow.context->Detach();
-  NoteTold(slot.instance, result.answer);
-  mDesk.Release(slot, EndOf(result, aFlow.context->IsAbandoned()), result.took);
-  mMetrics.Count("tries", TryLabel(result.kind));
-  mMetrics.Observe("try", result.took);
-  aFlow.lastUpstream = slot.instance;
-  aFlow.lastReason = result.reason;
+  auto handle = std::make_shared<AttemptHandle>();
+  aProgress.context->AttachAttempt(handle);
+  const Duration left =
+    aProgress.deadline - mClock.Now() - Duration(kReturnMargin);
+  RecordSent(ApproximateBytes(*aProgress.request));
+  // A named variable, as Debian 12's compiler destroys a braced temporary in a
+  // co_await expression twice.
+  const UpstreamProcess process{ slot.instance,
+                                 slot.address,
+                                 slot.incarnation };
+  AttemptResult result = co_await mUpstreamClient.RoundTrip(
+    process, aProgress.request, left, handle);
+  aProgress.context->DetachAttempt();
+  RecordLoadReport(slot.instance, result.response);
+  mSlots.Release(
+    slot,
+    ToAttemptOutcome(result, aProgress.context->IsCancelledByCallerOrHost()),
+    result.elapsed);
+  mMetrics.Increment("tries", AttemptLabel(result.kind));
+  mMetrics.Observe("try", result.elapsed);
+  aProgress.lastUpstream = slot.instance;
+  aProgress.lastFailure = result.reason;
   co_return result;
 }
 
-/// What can't be read is counted and told nobody: the answer is good without.
+/// A load report that can't be decoded is only counted: the response is valid
+/// without it.
 void
-RequestHandler::NoteTold(const std::string& aInstance,
-                         const IncomingAnswer& aAnswer)
+RequestHandler::RecordLoadReport(const std::string& aInstance,
+                                 const UpstreamResponse& aResponse)
 {
-  const std::string_view text = http::FieldOf(aAnswer.fields, mHeaders.load);
+  const std::string_view text = http::FieldOf(aResponse.fields, mHeaders.load);
   if (text.empty()) {
     return;
   }
-  if (const auto load = mDialect.DecodeLoad(text)) {
-    mDesk.NoteTold(aInstance, *load);
+  if (const auto load = mDialect.DecodeLoadReport(text)) {
+    mSlots.RecordLoadReport(aInstance, *load);
   } else {
-    mMetrics.Count("loads_not_read", "");
+    mMetrics.Increment("loads_not_read", "");
   }
 }
 
 bool
-RequestHandler::MayRetry(Flow& aFlow, const ExchangeResult& aResult)
+RequestHandler::TryTakeRetry(RequestProgress& aProgress,
+                             const AttemptResult& aResult)
 {
-  if (aFlow.context->IsOver() ||
-      mClock.Now() + Duration(kLeastTry) >= aFlow.deadline) {
+  if (aProgress.context->IsCancelled() ||
+      mClock.Now() + Duration(kMinAttemptTime) >= aProgress.deadline) {
     return false;
   }
-  const bool safe =
-    aResult.kind == ExchangeResult::Kind::NotRun ||
-    (aFlow.route->idempotent && aResult.kind == ExchangeResult::Kind::Unknown);
-  return safe && aFlow.sent < aFlow.route->maxAttempts &&
-         BudgetOf(aFlow.service).TryTake();
+  const bool safe = aResult.kind == AttemptResult::Kind::NotExecuted ||
+                    (aProgress.route->idempotent &&
+                     aResult.kind == AttemptResult::Kind::OutcomeUnknown);
+  return safe && aProgress.sentAttempts < aProgress.route->maxAttempts &&
+         RetryBudgetOf(aProgress.service).TryTake();
 }
 
-asio::awaitable<CallerAnswer>
-RequestHandler::Run(Flow& aFlow)
+asio::awaitable<CallerResponse>
+RequestHandler::RunAttempts(RequestProgress& aProgress)
 {
   asio::steady_timer timer(mExecutor);
-  timer.expires_after(aFlow.deadline - mClock.Now());
-  timer.async_wait([context = aFlow.context](auto aError) {
+  timer.expires_after(aProgress.deadline - mClock.Now());
+  timer.async_wait([context = aProgress.context](auto aError) {
     if (!aError) {
       context->Expire();
     }
   });
-  for (int unsent = 0; unsent < kMaxUnsent;) {
-    const SlotOutcome outcome = co_await AwaitSlot(aFlow);
+  for (int unsent = 0; unsent < kMaxUnsentAttempts;) {
+    const SlotOutcome outcome = co_await AcquireSlot(aProgress);
     const auto* slot = std::get_if<Slot>(&outcome);
     if (slot == nullptr) {
-      if (HasMoved(aFlow)) {
+      if (HasOwnerChanged(aProgress)) {
         ++unsent;
         continue;
       }
-      const NoSlot& none = std::get<NoSlot>(outcome);
-      const bool full = none.hindrance == UpstreamSet::Hindrance::Full;
-      co_return NotRun(aFlow,
-                       none.retryAfter,
-                       full ? "all upstreams are full" : "no upstream");
+      const SlotUnavailable& unavailable = std::get<SlotUnavailable>(outcome);
+      const bool full =
+        unavailable.reason == UpstreamSet::UnavailableReason::Full;
+      co_return NotExecutedResponse(aProgress,
+                                    unavailable.retryAfter,
+                                    full ? "all upstreams are full"
+                                         : "no upstream is available");
     }
-    const bool late = mClock.Now() + Duration(kWayBack) >= aFlow.deadline;
-    if (late || aFlow.context->IsOver()) {
-      mDesk.Release(*slot, TryEnd::Abandoned, {});
+    const bool late =
+      mClock.Now() + Duration(kReturnMargin) >= aProgress.deadline;
+    if (late || aProgress.context->IsCancelled()) {
+      mSlots.Release(*slot, AttemptOutcome::Abandoned, {});
       break;
     }
-    if (aFlow.sent == 0) {
-      BudgetOf(aFlow.service).OnFirstSend();
+    if (aProgress.sentAttempts == 0) {
+      RetryBudgetOf(aProgress.service).OnFirstSend();
     }
-    ExchangeResult result = co_await Try(aFlow, *slot);
-    if (result.kind == ExchangeResult::Kind::NotSent) {
+    AttemptResult result = co_await RunAttempt(aProgress, *slot);
+    if (result.kind == AttemptResult::Kind::NotSent) {
       ++unsent;
-      aFlow.tried.insert(aFlow.lastUpstream);
-      if (aFlow.key) {
+      aProgress.attempted.insert(aProgress.lastUpstream);
+      if (aProgress.key) {
         asio::steady_timer pause(mExecutor, milliseconds(30));
         co_await pause.async_wait(kAwait);
       }
       continue;
     }
-    ++aFlow.sent;
-    aFlow.tried.insert(aFlow.lastUpstream);
-    aFlow.mayHaveRun |= result.kind == ExchangeResult::Kind::Unknown;
-    if (result.kind == ExchangeResult::Kind::Answer ||
-        !MayRetry(aFlow, result)) {
-      co_return Final(aFlow, std::move(result));
+    ++aProgress.sentAttempts;
+    aProgress.attempted.insert(aProgress.lastUpstream);
+    aProgress.mayHaveRun |= result.kind == AttemptResult::Kind::OutcomeUnknown;
+    if (result.kind == AttemptResult::Kind::Response ||
+        !TryTakeRetry(aProgress, result)) {
+      co_return FinalResponse(aProgress, std::move(result));
     }
   }
-  if (aFlow.mayHaveRun) {
-    co_return Final(
-      aFlow,
-      ExchangeResult{
-        ExchangeResult::Kind::Unknown, {}, aFlow.lastReason, false, {} });
+  if (aProgress.mayHaveRun) {
+    co_return FinalResponse(aProgress,
+                            AttemptResult{ AttemptResult::Kind::OutcomeUnknown,
+                                           {},
+                                           aProgress.lastFailure,
+                                           false,
+                                           {} });
   }
-  co_return NotRun(aFlow, kRetryAfterFull, aFlow.lastReason);
+  co_return NotExecutedResponse(
+    aProgress, kRetryAfterFull, aProgress.lastFailure);
 }
 
-CallerAnswer
-RequestHandler::Final(const Flow& aFlow, ExchangeResult aResult) const
+CallerResponse
+RequestHandler::FinalResponse(const RequestProgress& aProgress,
+                              AttemptResult aResult) const
 {
-  const std::string& id = aFlow.request->requestId;
-  if (aResult.kind == ExchangeResult::Kind::Answer) {
-    CallerAnswer answer;
-    answer.status = aResult.answer.status;
-    http::ForEachEndToEnd(aResult.answer.fields,
+  const std::string& id = aProgress.request->requestId;
+  if (aResult.kind == AttemptResult::Kind::Response) {
+    CallerResponse response;
+    response.status = aResult.response.status;
+    http::ForEachEndToEnd(aResult.response.fields,
                           [&](std::string_view aName, std::string_view aValue) {
-                            // Said to this host, and old when it arrives.
+                            // Meant for this host; outdated at the caller.
                             if (!boost::beast::iequals(aName, mHeaders.load)) {
-                              http::AppendField(answer.fields, aName, aValue);
+                              http::AppendField(response.fields, aName, aValue);
                             }
                           });
-    answer.body = std::move(aResult.answer.body);
-    answer.due =
-      aFlow.arrived + Duration(aFlow.route->objective) - Duration(kWayToCaller);
-    return answer;
+    response.body = std::move(aResult.response.body);
+    response.sendBy = aProgress.arrived + Duration(aProgress.route->objective) -
+                      Duration(kCallerDeliveryTime);
+    return response;
   }
-  if (!aFlow.mayHaveRun) {
-    return NotRun(aFlow, kRetryAfterFull, aResult.reason);
+  if (!aProgress.mayHaveRun) {
+    return NotExecutedResponse(aProgress, kRetryAfterFull, aResult.reason);
   }
-  const bool timeout = aFlow.context->HasExpired();
-  Line(id) << "outcome unknown route=" << aFlow.route->name
-           << " service=" << aFlow.service << " upstream=" << aFlow.lastUpstream
-           << " sent=" << aFlow.sent << " reason=" << aResult.reason
-           << " after_ms=" << Ms(mClock.Now() - aFlow.arrived);
-  return Own(timeout ? kGatewayTimeout : kBadGateway, id, aResult.reason);
-}
-
-CallerAnswer
-RequestHandler::NotRun(const Flow& aFlow,
-                       Duration aRetryAfter,
-                       const std::string& aReason) const
-{
-  const std::string& id = aFlow.request->requestId;
-  if (aFlow.mayHaveRun) {
-    return Own(kBadGateway, id, aReason);
+  const bool timeout = aProgress.context->HasExpired();
+  LogLine(id) << "request outcome unknown route=" << aProgress.route->name
+              << " service=" << aProgress.service
+              << " upstream=" << aProgress.lastUpstream
+              << " sent=" << aProgress.sentAttempts
+              << " reason=" << aResult.reason
+              << " after_ms=" << Milliseconds(mClock.Now() - aProgress.arrived);
+  return MakeResponse(
+    timeout ? kGatewayTimeout : kBadGateway, id, aResult.reason);
+}
+
+CallerResponse
+RequestHandler::NotExecutedResponse(const RequestProgress& aProgress,
+                                    Duration aRetryAfter,
+                                    const std::string& aReason) const
+{
+  const std::string& id = aProgress.request->requestId;
+  if (aProgress.mayHaveRun) {
+    return MakeResponse(kBadGateway, id, aReason);
   }
-  Line(id) << "not run route=" << aFlow.route->name
-           << " service=" << aFlow.service
-           << " key=" << (aFlow.key ? std::to_string(*aFlow.key) : "-")
-           << " reason=" << aReason << " last=" << aFlow.lastReason
-           << " owner=" << (aFlow.owner.empty() ? "-" : aFlow.owner)
-           << " upstream=" << aFlow.lastUpstream
-           << " index=" << mFeed.Known().Applied().value
-           << " age_ms=" << Ms(mFeed.Age())
-           << " after_ms=" << Ms(mClock.Now() - aFlow.arrived);
-  return Own(kUnavailable, id, aReason, aRetryAfter);
-}
-
-CallerAnswer
-RequestHandler::Own(unsigned aStatus,
-                    const std::string& aId,
-                    const std::string& aText,
-                    std::optional<Duration> aRetryAfter) const
-{
-  CallerAnswer answer;
-  answer.status = aStatus;
+  LogLine(id) << "request not run route=" << aProgress.route->name
+              << " service=" << aProgress.service << " key="
+              << (aProgress.key ? std::to_string(*aProgress.key) : "-")
+              << " reason=" << aReason << " last=" << aProgress.lastFailure
+              << " owner=" << (aProgress.owner.empty() ? "-" : aProgress.owner)
+              << " upstream=" << aProgress.lastUpstream
+              << " index=" << mFeed.CurrentState().Applied().value
+              << " age_ms=" << Milliseconds(mFeed.StateAge())
+              << " after_ms=" << Milliseconds(mClock.Now() - aProgress.arrived);
+  return MakeResponse(kUnavailable, id, aReason, aRetryAfter);
+}
+
+CallerResponse
+RequestHandler::MakeResponse(unsigned aStatus,
+                             const std::string& aId,
+                             const std::string& aText,
+                             std::optional<Duration> aRetryAfter) const
+{
+  CallerResponse response;
+  response.status = aStatus;
   if (!aId.empty()) {
-    http::AppendField(answer.fields, mHeaders.requestId, aId);
+    http::AppendField(response.fields, mHeaders.requestId, aId);
   }
   if (aRetryAfter) {
-    http::AppendField(answer.fields, "Retry-After", Seconds(*aRetryAfter));
+    http::AppendField(
+      response.fields, "Retry-After", FormatSeconds(*aRetryAfter));
   }
-  http::AppendField(answer.fields, "Content-Type", "text/plain");
-  answer.body = aText + "\n";
-  return answer;
+  http::AppendField(response.fields, "Content-Type", "text/plain");
+  response.body = aText + "\n";
+  return response;
 }
 
-CallerAnswer
-RequestHandler::Refuse(unsigned aStatus, const std::string& aText) const
+CallerResponse
+RequestHandler::MakeErrorResponse(unsigned aStatus,
+                                  const std::string& aText) const
 {
-  return Own(aStatus, {}, aText);
+  return MakeResponse(aStatus, {}, aText);
 }
 
 } // namespace rattandyke::gateway
--- a/src/librattandyke/gateway/request_handler_link.cpp
+++ b/src/librattandyke/gateway/request_handler_link.cpp
@@ -1,4 +1,4 @@
-// What requests and answers take of the host's link.
+// Part of RequestHandler that controls the use of the host's link.
 #include "gateway/request_handler.h"
 
 #include <algorithm>
@@ -12,84 +12,89 @@
 namespace asio = boost::asio;
 using http::kAwait;
 
-/// Longest time for which an answer waits for the link; no answer does, unless
-/// the link is slower than it is taken for.
-constexpr std::chrono::seconds kLongestEgress{ 2 };
+/// Interval at which a response that waits for the link checks whether it may
+/// be written. Waits are shorter unless the link is slower than configured.
+constexpr std::chrono::seconds kEgressCheckInterval{ 2 };
 
 } // namespace
 
 asio::awaitable<void>
-RequestHandler::AwaitEgress(std::shared_ptr<RequestContext> aContext,
-                            size_t aBytes,
-                            Instant aDue)
+RequestHandler::AwaitSendTurn(std::shared_ptr<RequestContext> aContext,
+                              size_t aBytes,
+                              Instant aSendBy)
 {
   const Instant entered = mClock.Now();
-  const EgressQueue::Ticket ticket = ++mLastEgress;
-  if (mEgress.Enter(ticket, aBytes, aDue, entered)) {
+  const EgressQueue::Ticket ticket = ++mLastEgressTicket;
+  if (mEgressQueue.Enqueue(ticket, aBytes, aSendBy, entered)) {
     co_return;
   }
-  mAwaitEgress[ticket] = aContext;
-  WatchEgress();
-  while (mAwaitEgress.contains(ticket) && !aContext->IsOver()) {
-    aContext->Wake().expires_after(kLongestEgress);
-    co_await aContext->Wake().async_wait(kAwait);
+  mEgressWaiters[ticket] = aContext;
+  ArmEgressTimer();
+  while (mEgressWaiters.contains(ticket) && !aContext->IsCancelled()) {
+    aContext->WakeTimer().expires_after(kEgressCheckInterval);
+    co_await aContext->WakeTimer().async_wait(kAwait);
   }
-  if (mAwaitEgress.erase(ticket) > 0) {
-    mEgress.Leave(ticket);
-    NoteSent(aBytes);
+  if (mEgressWaiters.erase(ticket) > 0) {
+    mEgressQueue.Remove(ticket);
+    RecordSent(aBytes);
   }
   mMetrics.Observe("egress_wait", mClock.Now() - entered);
 }
 
 void
-RequestHandler::WatchEgress()
+RequestHandler::ArmEgressTimer()
 {
   mEgressTimer.expires_after(
-    std::max(mEgress.NextAt() - mClock.Now(), Duration::zero()));
+    std::max(mEgressQueue.NextReadyTime() - mClock.Now(), Duration::zero()));
   mEgressTimer.async_wait([this](auto aError) {
     if (aError) {
       return;
     }
-    for (const EgressQueue::Ticket ticket : mEgress.TakeReady(mClock.Now())) {
-      const auto found = mAwaitEgress.find(ticket);
-      if (found != mAwaitEgress.end()) {
-        found->second->Wake().cancel();
-        mAwaitEgress.erase(found);
+    for (const EgressQueue::Ticket ticket :
+         mEgressQueue.PopReady(mClock.Now())) {
+      const auto found = mEgressWaiters.find(ticket);
+      if (found != mEgressWaiters.end()) {
+        found->second->WakeTimer().cancel();
+        mEgressWaiters.erase(found);
       }
     }
-    if (!mEgress.IsEmpty()) {
-      WatchEgress();
+    if (!mEgressQueue.IsEmpty()) {
+      ArmEgressTimer();
     }
   });
 }
 
 size_t
-RequestHandler::BytesOf(const OutgoingRequest& aRequest)
+RequestHandler::ApproximateBytes(const UpstreamRequest& aRequest)
 {
-  return aRequest.fields.size() + aRequest.body.size() + kRequestLine;
+  return aRequest.fields.size() + aRequest.body.size() + kRequestLineBytes;
 }
 
-asio::awaitable<CallerAnswer>
-RequestHandler::RunIfRoom(Flow& aFlow)
+asio::awaitable<CallerResponse>
+RequestHandler::RunIfLinkAdmits(RequestProgress& aProgress)
 {
-  const size_t expected = mSizes.Of(aFlow.route->name);
-  const auto wait = mLink.Admit(aFlow.route->priority,
-                                BytesOf(*aFlow.request),
-                                expected,
-                                Duration(aFlow.route->timeout),
-                                mClock.Now());
-  if (wait) {
-    mMetrics.Count("link_refusals", "");
-    co_return NotRun(aFlow, *wait, "the link is full");
+  const size_t expected = mResponseSizes.Expected(aProgress.route->name);
+  const auto retryAfter =
+    mLinkBudget.Admit(aProgress.route->priority,
+                      ApproximateBytes(*aProgress.request),
+                      expected,
+                      Duration(aProgress.route->timeout),
+                      mClock.Now());
+  if (retryAfter) {
+    mMetrics.Increment("link_refusals", "");
+    co_return NotExecutedResponse(
+      aProgress, *retryAfter, "the host's link has no capacity");
   }
-  CallerAnswer answer = co_await Run(aFlow);
-  // What came has been counted as expected; a refusal has brought nothing.
-  if (answer.due > Instant{}) {
-    mSizes.Note(aFlow.route->name, answer.fields.size() + answer.body.size());
+  CallerResponse response = co_await RunAttempts(aProgress);
+  // Admit() has counted the expected bytes. An upstream's response has a
+  // sendBy; otherwise no response has arrived.
+  if (response.sendBy > Instant{}) {
+    mResponseSizes.Record(aProgress.route->name,
+                          response.fields.size() + response.body.size());
   } else {
-    mLink.GiveBack(expected);
+    mLinkBudget.Release(expected);
   }
-  co_return answer;
+  co_return response;
 }
 
 } // namespace rattandyke::gateway
--- /dev/null
+++ b/src/librattandyke/gateway/slot_coordinator_homes.cpp
@@ -0,0 +1,177 @@
+// The home entry of an upstream, and the conditions for bypassing it.
+#include "gateway/slot_coordinator.h"
+
+#include <algorithm>
+
+#include "routing/service_table.h"
+
+namespace rattandyke::gateway {
+
+namespace {
+
+using std::chrono::milliseconds;
+
+/// With a list of entries older than this, a host may no longer be the home
+/// entry.
+constexpr milliseconds kMaxStateAge{ 1000 };
+/// Mean latency of slot requests above which they are slow: an upstream chosen
+/// from load reports then answers earlier, even if it is not the best one.
+constexpr milliseconds kSlowHomeLatency{ 20 };
+/// Mean latency at which slot requests are no longer slow.
+constexpr milliseconds kFastHomeLatency{ 6 };
+/// Weight of the newest latency in the moving average.
+constexpr double kLatencyWeight = 0.05;
+/// One in this many requests is sent to the home entry even while slot requests
+/// are slow, to measure the latency.
+constexpr uint64_t kHomeProbePeriod = 32;
+/// Fraction of the requests to a service that go to the home entry if all its
+/// upstreams are cold; proportionally less if fewer are. Only home entries know
+/// how many requests a cold upstream may get.
+constexpr double kColdHomeFraction = 0.6;
+/// This few hosts can't overload an upstream with one request each.
+constexpr size_t kFewEntries = 16;
+
+} // namespace
+
+void
+SlotCoordinator::AddEntry(const std::string& aAddress)
+{
+  const auto at =
+    std::lower_bound(mEntries.begin(),
+                     mEntries.end(),
+                     aAddress,
+                     [](const Entry& aEntry, const std::string& aOther) {
+                       return aEntry.address < aOther;
+                     });
+  if (at == mEntries.end() || at->address != aAddress) {
+    mEntries.insert(at, Entry{ aAddress, routing::HashOf(aAddress) });
+  }
+}
+
+void
+SlotCoordinator::DropEntry(const std::string& aAddress)
+{
+  std::erase_if(
+    mEntries, [&](const Entry& aEntry) { return aEntry.address == aAddress; });
+}
+
+/// Rendezvous hashing: the home entry is the entry whose hash, mixed with that
+/// of the group, is the highest. When an entry is added or removed, only the
+/// groups that it gains or loses change their home entry. Since every request
+/// calls this, the hashes of the entries are stored.
+std::string
+SlotCoordinator::HomeOf(const std::string& aService, uint32_t aGroup) const
+{
+  const uint64_t group =
+    routing::HashOf(aService + "/" + std::to_string(aGroup));
+  const Entry* home = nullptr;
+  uint64_t highest = 0;
+  for (const Entry& entry : mEntries) {
+    const uint64_t mixed = routing::Mixed(group ^ entry.hash);
+    if (home == nullptr || mixed > highest) {
+      highest = mixed;
+      home = &entry;
+    }
+  }
+  return home == nullptr ? std::string() : home->address;
+}
+
+bool
+SlotCoordinator::IsHomeOf(const std::string& aInstance) const
+{
+  const UpstreamSet& upstreams = mBroker.Upstreams();
+  return HomeOf(upstreams.ServiceOf(aInstance), upstreams.GroupOf(aInstance)) ==
+         mSelf;
+}
+
+/// @return the cold upstreams of which this host is the home entry.
+std::vector<std::string>
+SlotCoordinator::ColdUpstreamsHomedHere() const
+{
+  std::vector<std::string> cold =
+    mBroker.Upstreams().ColdInstances(mClock.Now());
+  std::erase_if(cold, [&](const auto& aId) { return !IsHomeOf(aId); });
+  return cold;
+}
+
+/// Pauses sending to cold upstreams that have become homed on this host. The
+/// previous home entry may have sent such an upstream all requests that it
+/// bears in the last second, and as many again from this host would crash it.
+/// @param aBefore cold upstreams that were homed on this host before.
+void
+SlotCoordinator::PauseNewlyHomedCold(const std::vector<std::string>& aBefore)
+{
+  std::vector<std::string> cold = ColdUpstreamsHomedHere();
+  std::erase_if(cold, [&](const auto& aId) {
+    return std::find(aBefore.begin(), aBefore.end(), aId) != aBefore.end();
+  });
+  mBroker.PauseCold(cold, mClock.Now());
+}
+
+/// @return whether this host may allocate the slots of a group's cold
+/// upstreams: it must be the home entry by a list of entries that is up to
+/// date. A partitioned home entry continues to allocate slots for the entries
+/// on its side of the partition after another has replaced it, and two home
+/// entries would send a cold upstream twice what it bears. An entry is removed
+/// from the list only after being unreachable for longer than kMaxStateAge.
+bool
+SlotCoordinator::MayAllocateCold(const std::string& aService,
+                                 uint32_t aGroup) const
+{
+  return mStateAge() < Duration(kMaxStateAge) &&
+         HomeOf(aService, aGroup) == mSelf;
+}
+
+bool
+SlotCoordinator::IsUnresponsive(const std::string& aHome) const
+{
+  const auto found = mUnresponsiveUntil.find(aHome);
+  return found != mUnresponsiveUntil.end() && mClock.Now() < found->second;
+}
+
+void
+SlotCoordinator::RecordHomeLatency(Duration aTime)
+{
+  mHomeLatency += Scaled(aTime - mHomeLatency, kLatencyWeight);
+  if (mHomeLatency >= Duration(kSlowHomeLatency)) {
+    mHomesAreSlow = true;
+  } else if (mHomeLatency <= Duration(kFastHomeLatency)) {
+    mHomesAreSlow = false;
+  }
+}
+
+/// A home entry knows all requests at its upstreams, so it makes the best
+/// choice, at the cost of two messages before each request. On busy links these
+/// messages wait in four queues, which costs more time than the better choice
+/// saves.
+bool
+SlotCoordinator::ShouldChooseDirect(const SlotRequest& aRequest)
+{
+  const UpstreamSet& upstreams = mBroker.Upstreams();
+  const Instant now = mClock.Now();
+  if (!mHomesAreSlow || !aRequest.instance.empty() ||
+      !upstreams.ReportsLoad(aRequest.service, now) ||
+      mRandom() % kHomeProbePeriod == 0) {
+    return false;
+  }
+  const double cold =
+    upstreams.ColdFraction(aRequest.service, now) * kColdHomeFraction;
+  return static_cast<double>(mRandom() % 1024) >= cold * 1024;
+}
+
+/// While a key is hot and the home entry of its owner does not answer, each of
+/// some tens of hosts would send the owner a request. Requests beyond the
+/// owner's queue never get a response and must not be sent again. A host that
+/// had another request for the owner within kBypassInterval assumes that it is
+/// in demand and does not bypass the home entry.
+bool
+SlotCoordinator::RecordRequest(const std::string& aInstance)
+{
+  const Instant now = mClock.Now();
+  Instant& lastRequestAt = mLastRequestAt[aInstance];
+  const bool isFirst = now - lastRequestAt >= Duration(kBypassInterval);
+  lastRequestAt = now;
+  return isFirst || mEntries.size() <= kFewEntries;
+}
+
+} // namespace rattandyke::gateway
--- /dev/null
+++ b/src/librattandyke/gateway/upstream_client.cpp
@@ -0,0 +1,412 @@
+#include "gateway/upstream_client.h"
+
+#include <algorithm>
+#include <array>
+#include <charconv>
+
+#include <sys/socket.h>
+
+#include <boost/asio/co_spawn.hpp>
+#include <boost/asio/detached.hpp>
+#include <boost/asio/steady_timer.hpp>
+#include <boost/asio/write.hpp>
+#include <boost/beast/http/parser.hpp>
+#include <boost/beast/http/read.hpp>
+#include <boost/beast/http/string_body.hpp>
+
+#include "base/endpoint.h"
+#include "http/headers.h"
+#include "http/signal.h"
+#include "net/frame_connection.h"
+
+namespace rattandyke::gateway {
+
+namespace {
+
+namespace asio = boost::asio;
+namespace beast = boost::beast;
+using asio::ip::tcp;
+using http::kAwait;
+using std::chrono::milliseconds;
+using ErrorCode = boost::system::error_code;
+using Parser = beast::http::response_parser<beast::http::string_body>;
+
+/// Upstreams are a few milliseconds away. One that takes longer to accept a
+/// connection is down or overloaded.
+constexpr milliseconds kConnectTimeout{ 250 };
+/// Idle time after which a connection is not reused if the upstream sends no
+/// Keep-Alive timeout.
+constexpr milliseconds kDefaultIdleLifetime{ 4000 };
+/// Subtracted from the upstream's Keep-Alive timeout, so that the upstream does
+/// not close the connection while a request is in transit.
+constexpr milliseconds kIdleLifetimeMargin{ 1000 };
+/// Time after which a connection with unacknowledged data is closed.
+constexpr milliseconds kUnacknowledgedTimeout{ 1000 };
+/// Shortest remaining time with which a request is sent. The deadline header is
+/// in whole milliseconds, and upstreams treat 0 as no limit: if a pause of this
+/// host used up the time, the upstream would work for a caller that is gone.
+constexpr milliseconds kMinDeadline{ 1 };
+/// Responses to other requests that are skipped before the attempt fails.
+constexpr int kMaxSkippedResponses = 3;
+/// Bodies up to this size are written before the response is read. Longer ones
+/// are written concurrently, as an upstream may respond before it has read
+/// them.
+constexpr size_t kMaxInlineBodyBytes = size_t{ 32 } * 1024;
+constexpr unsigned kMisdirected = 421;
+constexpr unsigned kFirstSuccess = 200;
+constexpr unsigned kFirstRedirect = 300;
+
+/// @return whether a status tells a caller that its request has not run and
+/// never will.
+bool
+ImpliesNotExecuted(unsigned aStatus)
+{
+  constexpr std::array kStatuses{ 408U, 421U, 429U, 503U };
+  return std::find(kStatuses.begin(), kStatuses.end(), aStatus) !=
+         kStatuses.end();
+}
+
+/// @return whether an idle connection is open and has no input. Input on an
+/// idle connection belongs to no request of this host.
+bool
+IsOpenAndIdle(tcp::socket& aSocket)
+{
+  char byte = 0;
+  const ssize_t received = ::recv(
+    aSocket.native_handle(), &byte, sizeof(byte), MSG_PEEK | MSG_DONTWAIT);
+  return received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
+}
+
+/// @return time for which a connection may be idle after a response.
+Duration
+IdleLifetime(const UpstreamResponse& aResponse)
+{
+  const std::string_view field = http::FieldOf(aResponse.fields, "Keep-Alive");
+  constexpr std::string_view kName = "timeout=";
+  const size_t at = field.find(kName);
+  if (at == std::string_view::npos) {
+    return kDefaultIdleLifetime;
+  }
+  const std::string_view text = field.substr(at + kName.size());
+  unsigned seconds = 0;
+  std::from_chars(text.data(), text.data() + text.size(), seconds);
+  return std::chrono::seconds{ seconds } - Duration(kIdleLifetimeMargin);
+}
+
+AttemptResult
+MakeResult(AttemptResult::Kind aKind, std::string aReason)
+{
+  AttemptResult result;
+  result.kind = aKind;
+  result.reason = std::move(aReason);
+  return result;
+}
+
+asio::awaitable<void>
+WriteBody(std::shared_ptr<UpstreamConnection> aConnection,
+          std::shared_ptr<const UpstreamRequest> aRequest,
+          std::shared_ptr<bool> aWritten)
+{
+  auto [error, bytes] = co_await asio::async_write(
+    aConnection->socket, asio::buffer(aRequest->body), kAwait);
+  *aWritten = !error;
+}
+
+} // namespace
+
+ConnectionPool::IdleConnections&
+ConnectionPool::ConnectionsTo(const UpstreamProcess& aProcess)
+{
+  IdleConnections& connections = mIdle[aProcess.instance];
+  if (connections.process != aProcess) {
+    for (const auto& connection : connections.idle) {
+      connection->Close();
+    }
+    connections.idle.clear();
+    connections.process = aProcess;
+  }
+  return connections;
+}
+
+std::shared_ptr<UpstreamConnection>
+ConnectionPool::Take(const UpstreamProcess& aProcess, Instant aNow)
+{
+  auto& idle = ConnectionsTo(aProcess).idle;
+  while (!idle.empty()) {
+    auto connection = idle.back();
+    idle.pop_back();
+    if (connection->usableUntil > aNow && IsOpenAndIdle(connection->socket)) {
+      return connection;
+    }
+    connection->Close();
+  }
+  return nullptr;
+}
+
+void
+ConnectionPool::Put(const UpstreamProcess& aProcess,
+                    std::shared_ptr<UpstreamConnection> aConnection)
+{
+  const auto found = mIdle.find(aProcess.instance);
+  if (found != mIdle.end() && found->second.process != aProcess) {
+    aConnection->Close(); // It belongs to another incarnation.
+    return;
+  }
+  ConnectionsTo(aProcess).idle.push_back(std::move(aConnection));
+}
+
+void
+AttemptHandle::Cancel(std::string aReason)
+{
+  if (mCancelled) {
+    return;
+  }
+  mCancelled = true;
+  mReason = std::move(aReason);
+  if (mConnection) {
+    mConnection->Close();
+  }
+}
+
+void
+AttemptHandle::AttachConnection(std::shared_ptr<UpstreamConnection> aConnection)
+{
+  mConnection = std::move(aConnection);
+  if (mCancelled) {
+    mConnection->Close();
+  }
+}
+
+UpstreamClient::UpstreamClient(asio::any_io_executor aExecutor,
+                               const HeaderNames& aHeaders,
+                               const Clock& aClock)
+  : mExecutor(std::move(aExecutor))
+  , mHeaders(aHeaders)
+  , mClock(aClock)
+{
+}
+
+asio::awaitable<std::shared_ptr<UpstreamConnection>>
+UpstreamClient::Connect(std::string aAddress,
+                        std::shared_ptr<AttemptHandle> aHandle)
+{
+  const Result<Endpoint> address = ParseEndpoint(aAddress);
+  if (!address) {
+    co_return nullptr;
+  }
+  auto connection = std::make_shared<UpstreamConnection>(mExecutor);
+  aHandle->AttachConnection(connection);
+  ++mConnectionsOpened;
+  // If the timer expires at the moment the connection is established, its
+  // handler runs although the timer is cancelled. Without this flag it would
+  // close the connection during the request, which may have run by then.
+  auto connecting = std::make_shared<bool>(true);
+  asio::steady_timer timer(mExecutor, kConnectTimeout);
+  timer.async_wait([connection, connecting](ErrorCode aError) {
+    if (!aError && *connecting) {
+      connection->Close();
+    }
+  });
+  ErrorCode ignored; // ParseEndpoint has checked the address.
+  const tcp::endpoint endpoint(
+    asio::ip::make_address(address->address, ignored), address->port);
+  auto [error] = co_await connection->socket.async_connect(endpoint, kAwait);
+  *connecting = false;
+  timer.cancel();
+  if (error || !connection->socket.is_open()) {
+    co_return nullptr;
+  }
+  net::TuneSocket(connection->socket, kUnacknowledgedTimeout);
+  co_return connection;
+}
+
+std::string
+UpstreamClient::FormatHead(const std::string& aInstance,
+                           const UpstreamRequest& aRequest,
+                           Duration aTimeLeft) const
+{
+  const auto left = std::chrono::duration_cast<milliseconds>(aTimeLeft).count();
+  std::string head;
+  head.reserve(aRequest.fields.size() + 256);
+  head += aRequest.method;
+  head += ' ';
+  head += aRequest.target;
+  head += " HTTP/1.1\r\n";
+  head += aRequest.fields;
+  http::AppendField(head, mHeaders.deadline, std::to_string(left));
+  http::AppendField(head, mHeaders.expectedInstance, aInstance);
+  if (aRequest.hasBody) {
+    http::AppendField(
+      head, "Content-Length", std::to_string(aRequest.body.size()));
+  }
+  head += "\r\n";
+  return head;
+}
+
+asio::awaitable<AttemptResult>
+UpstreamClient::RoundTrip(UpstreamProcess aProcess,
+                          std::shared_ptr<const UpstreamRequest> aRequest,
+                          Duration aTimeLeft,
+                          std::shared_ptr<AttemptHandle> aHandle)
+{
+  const Instant started = mClock.Now();
+  std::shared_ptr<UpstreamConnection> connection =
+    mPool.Take(aProcess, started);
+  if (connection) {
+    aHandle->AttachConnection(connection);
+  } else {
+    connection = co_await Connect(aProcess.address, aHandle);
+    if (!connection || aHandle->IsCancelled()) {
+      aHandle->DetachConnection();
+      co_return MakeResult(AttemptResult::Kind::NotSent,
+                           aHandle->IsCancelled()
+                             ? aHandle->CancelReason()
+                             : "the upstream can't be reached");
+    }
+  }
+  const Instant sentAt = mClock.Now();
+  const Duration left = aTimeLeft - (sentAt - started);
+  if (left < Duration(kMinDeadline)) {
+    aHandle->DetachConnection();
+    PoolOrClose(aProcess, connection);
+    co_return MakeResult(AttemptResult::Kind::NotSent,
+                         "no time is left to send the request");
+  }
+  std::string head = FormatHead(aProcess.instance, *aRequest, left);
+  const bool bodyInline = aRequest->body.size() <= kMaxInlineBodyBytes;
+  if (bodyInline) {
+    head += aRequest->body;
+  }
+  auto [writeError, written] =
+    co_await asio::async_write(connection->socket, asio::buffer(head), kAwait);
+  if (writeError) {
+    aHandle->DetachConnection();
+    connection->Close();
+    co_return MakeResult(AttemptResult::Kind::OutcomeUnknown,
+                         "writing the request failed: " + writeError.message());
+  }
+  auto bodyWritten = std::make_shared<bool>(bodyInline);
+  if (!bodyInline) {
+    asio::co_spawn(
+      mExecutor, WriteBody(connection, aRequest, bodyWritten), asio::detached);
+  }
+  AttemptResult result =
+    co_await ReadResponse(connection, aRequest, aProcess.instance, bodyInline);
+  aHandle->DetachConnection();
+  result.elapsed = mClock.Now() - sentAt;
+  if (aHandle->IsCancelled() &&
+      result.kind == AttemptResult::Kind::OutcomeUnknown) {
+    result.reason = aHandle->CancelReason();
+    result.cancelled = true;
+  }
+  const bool reusable = result.kind == AttemptResult::Kind::Response ||
+                        result.kind == AttemptResult::Kind::NotExecuted;
+  if (reusable && *bodyWritten && !aHandle->IsCancelled()) {
+    PoolOrClose(aProcess, connection);
+  } else {
+    connection->Close();
+  }
+  co_return result;
+}
+
+void
+UpstreamClient::PoolOrClose(
+  const UpstreamProcess& aProcess,
+  const std::shared_ptr<UpstreamConnection>& aConnection)
+{
+  if (aConnection->buffer.size() == 0 &&
+      aConnection->usableUntil > mClock.Now()) {
+    // The pool holds some hundred connections, one for each upstream used in
+    // the last seconds; each buffer would keep the capacity of its longest
+    // response.
+    aConnection->buffer.shrink_to_fit();
+    mPool.Put(aProcess, aConnection);
+  } else {
+    aConnection->Close();
+  }
+}
+
+asio::awaitable<AttemptResult>
+UpstreamClient::ReadResponse(std::shared_ptr<UpstreamConnection> aConnection,
+                             std::shared_ptr<const UpstreamRequest> aRequest,
+                             std::string aInstance,
+                             bool aBodyWritten)
+{
+  for (int skipped = 0; skipped <= kMaxSkippedResponses; ++skipped) {
+    Parser parser;
+    parser.body_limit(boost::none);
+    parser.skip(aRequest->method == "HEAD");
+    auto [error, bytes] = co_await beast::http::async_read(
+      aConnection->socket, aConnection->buffer, parser, kAwait);
+    if (error) {
+      co_return MakeResult(AttemptResult::Kind::OutcomeUnknown,
+                           "the response is incomplete: " + error.message());
+    }
+    auto& message = parser.get();
+    UpstreamResponse response;
+    response.status = message.result_int();
+    const bool keepAlive = message.keep_alive() && !parser.need_eof();
+    response.body = std::move(message.body());
+    response.fields = std::move(message.base());
+    aConnection->usableUntil = {};
+    const std::string_view id =
+      http::FieldOf(response.fields, mHeaders.requestId);
+    if (!id.empty() && id != aRequest->requestId) {
+      // An upstream may send a late duplicate of an earlier response. It must
+      // not reach the caller of this request.
+      if (!keepAlive) {
+        co_return MakeResult(AttemptResult::Kind::OutcomeUnknown,
+                             "the response belongs to another request");
+      }
+      continue;
+    }
+    if (keepAlive && skipped == 0) {
+      aConnection->usableUntil = mClock.Now() + IdleLifetime(response);
+    }
+    co_return Classify(std::move(response));
+  }
+  co_return MakeResult(AttemptResult::Kind::OutcomeUnknown,
+                       "too many responses to other requests");
+}
+
+AttemptResult
+UpstreamClient::Classify(UpstreamResponse aResponse) const
+{
+  const bool success =
+    aResponse.status >= kFirstSuccess && aResponse.status < kFirstRedirect;
+  const auto has = [&](const std::string& aName) {
+    return !http::FieldOf(aResponse.fields, aName).empty();
+  };
+  if (!success &&
+      (aResponse.status == kMisdirected || has(mHeaders.notExecuted))) {
+    AttemptResult result =
+      MakeResult(AttemptResult::Kind::NotExecuted,
+                 "the upstream refused the request with status " +
+                   std::to_string(aResponse.status));
+    result.response = std::move(aResponse);
+    return result;
+  }
+  // These statuses tell a caller that its request has not run. Without the
+  // not-executed header the upstream does not guarantee this, so this host must
+  // not pass such a status on.
+  if (ImpliesNotExecuted(aResponse.status)) {
+    return MakeResult(AttemptResult::Kind::OutcomeUnknown,
+                      "the upstream refused the request with status " +
+                        std::to_string(aResponse.status) +
+                        " without proof that the request did not run");
+  }
+  // A faulty upstream may send data that looks like a response. The signature
+  // and the request id show that it is genuine. This host requests no content
+  // encoding.
+  if (!has(mHeaders.signature) || !has(mHeaders.requestId) ||
+      has("Content-Encoding")) {
+    return MakeResult(AttemptResult::Kind::OutcomeUnknown,
+                      "the response with status " +
+                        std::to_string(aResponse.status) + " is not genuine");
+  }
+  AttemptResult result = MakeResult(AttemptResult::Kind::Response, "");
+  result.response = std::move(aResponse);
+  return result;
+}
+
+} // namespace rattandyke::gateway
--- /dev/null
+++ b/src/librattandyke/gateway/upstream_client.h
@@ -0,0 +1,219 @@
+/// HTTP client of an entry host for requests to upstreams.
+#pragma once
+
+#include <deque>
+#include <map>
+#include <memory>
+#include <optional>
+#include <string>
+
+#include <boost/asio/awaitable.hpp>
+#include <boost/asio/ip/tcp.hpp>
+#include <boost/beast/core/flat_buffer.hpp>
+#include <boost/beast/http/fields.hpp>
+
+#include <rattandyke/types.h>
+
+#include "base/clock.h"
+#include "gateway/dialect.h"
+
+namespace rattandyke::gateway {
+
+/// A TCP connection to an upstream, with its read buffer.
+struct UpstreamConnection
+{
+  explicit UpstreamConnection(const boost::asio::any_io_executor& aExecutor)
+    : socket(aExecutor)
+  {
+  }
+
+  void Close()
+  {
+    boost::system::error_code ignored; // Closed even after an error.
+    socket.close(ignored);
+  }
+
+  boost::asio::ip::tcp::socket socket;
+  boost::beast::flat_buffer buffer;
+  /// Time until which the idle connection may be used for a request; the
+  /// upstream may close it later. Instant{} if it must not be used again.
+  Instant usableUntil{};
+};
+
+/// Identifies one process of an upstream, the target of a request.
+struct UpstreamProcess
+{
+  std::string instance;
+  std::string address;
+  /// Distinguishes successive processes with the same instance id.
+  uint64_t incarnation = 0;
+  bool operator==(const UpstreamProcess&) const = default;
+};
+
+/// Pool of idle connections to upstreams, by instance. Not thread-safe.
+///
+/// A connection to a process that ended without closing it still looks open,
+/// and the outcome of a request sent on it is unknown. So connections are
+/// reused only within one incarnation of an instance.
+class ConnectionPool
+{
+public:
+  /// Removes a connection from the pool.
+  /// @return an idle connection that is still usable, or nullptr.
+  std::shared_ptr<UpstreamConnection> Take(const UpstreamProcess& aProcess,
+                                           Instant aNow);
+
+  /// Adds a connection, or closes it if the pool holds connections to another
+  /// process of the instance.
+  void Put(const UpstreamProcess& aProcess,
+           std::shared_ptr<UpstreamConnection> aConnection);
+
+  /// Closes connections that have been idle for too long, and those to
+  /// instances that are no longer registered.
+  /// @param aIsRegistered bool(const std::string& aInstance).
+  template<typename IsRegistered>
+  void Sweep(Instant aNow, IsRegistered aIsRegistered)
+  {
+    for (auto at = mIdle.begin(); at != mIdle.end();) {
+      auto& idle = at->second.idle;
+      while (!idle.empty() &&
+             (idle.front()->usableUntil <= aNow || !aIsRegistered(at->first))) {
+        idle.pop_front();
+      }
+      at = idle.empty() ? mIdle.erase(at) : std::next(at);
+    }
+  }
+
+private:
+  struct IdleConnections
+  {
+    UpstreamProcess process;
+    /// Oldest first. Take() takes the newest, so that unneeded ones time out.
+    std::deque<std::shared_ptr<UpstreamConnection>> idle;
+  };
+
+  /// @return the connections to a process. Closes those to other incarnations.
+  IdleConnections& ConnectionsTo(const UpstreamProcess& aProcess);
+
+  std::map<std::string, IdleConnections> mIdle;
+};
+
+/// A request as it is sent to an upstream.
+struct UpstreamRequest
+{
+  std::string method;
+  std::string target;
+  /// Header lines that are the same in every attempt, each terminated by CRLF.
+  std::string fields;
+  std::string body;
+  /// The request has a body, which may have length 0.
+  bool hasBody = false;
+  std::string requestId;
+};
+
+/// An upstream's response, read in full.
+struct UpstreamResponse
+{
+  unsigned status = 0;
+  boost::beast::http::fields fields;
+  std::string body;
+};
+
+/// Result of one attempt to send a request to an upstream.
+struct AttemptResult
+{
+  /// What is known about the execution of the request.
+  enum class Kind
+  {
+    /// The upstream sent a complete, signed response to this request.
+    Response,
+    /// The upstream refused the request: it has not run it and never will.
+    NotExecuted,
+    /// No part of the request was sent.
+    NotSent,
+    /// The request was sent, at least in part, and may have run.
+    OutcomeUnknown,
+  };
+  Kind kind = Kind::NotSent;
+  UpstreamResponse response;
+  /// Description for the log; empty for Kind::Response.
+  std::string reason;
+  /// The attempt was cancelled while it waited for the response.
+  bool cancelled = false;
+  /// Time from sending the request to the end of the attempt; 0 if the request
+  /// could not be written.
+  Duration elapsed{};
+};
+
+/// Cancels an attempt from outside. The attempt's connection is closed, which
+/// makes the upstream stop working on the request.
+class AttemptHandle
+{
+public:
+  /// @param aReason becomes the reason in the attempt's result.
+  void Cancel(std::string aReason);
+
+  bool IsCancelled() const { return mCancelled; }
+  const std::string& CancelReason() const { return mReason; }
+
+  /// For UpstreamClient: the connection that Cancel() closes.
+  void AttachConnection(std::shared_ptr<UpstreamConnection> aConnection);
+  void DetachConnection() { mConnection.reset(); }
+
+private:
+  std::shared_ptr<UpstreamConnection> mConnection;
+  bool mCancelled = false;
+  std::string mReason;
+};
+
+/// Sends requests to upstreams over pooled HTTP/1.1 connections, one request at
+/// a time per connection. Runs on one executor that runs one handler at a time.
+class UpstreamClient
+{
+public:
+  /// @param aClock and @param aHeaders outlive this object.
+  UpstreamClient(boost::asio::any_io_executor aExecutor,
+                 const HeaderNames& aHeaders,
+                 const Clock& aClock);
+
+  /// Sends a request and reads the response: one attempt.
+  /// @param aTimeLeft time for the response, sent as the deadline header.
+  /// @param aHandle   cancels the attempt.
+  boost::asio::awaitable<AttemptResult> RoundTrip(
+    UpstreamProcess aProcess,
+    std::shared_ptr<const UpstreamRequest> aRequest,
+    Duration aTimeLeft,
+    std::shared_ptr<AttemptHandle> aHandle);
+
+  ConnectionPool& Pool() { return mPool; }
+
+  /// @return the number of connections opened since the start.
+  uint64_t ConnectionsOpened() const { return mConnectionsOpened; }
+
+private:
+  boost::asio::awaitable<std::shared_ptr<UpstreamConnection>> Connect(
+    std::string aAddress,
+    std::shared_ptr<AttemptHandle> aHandle);
+  std::string FormatHead(const std::string& aInstance,
+                         const UpstreamRequest& aRequest,
+                         Duration aTimeLeft) const;
+  boost::asio::awaitable<AttemptResult> ReadResponse(
+    std::shared_ptr<UpstreamConnection> aConnection,
+    std::shared_ptr<const UpstreamRequest> aRequest,
+    std::string aInstance,
+    bool aBodyWritten);
+  /// Returns an idle connection to the pool, or closes it if it must not be
+  /// reused.
+  void PoolOrClose(const UpstreamProcess& aProcess,
+                   const std::shared_ptr<UpstreamConnection>& aConnection);
+  /// @return what a response to this request says about its execution.
+  AttemptResult Classify(UpstreamResponse aResponse) const;
+
+  const boost::asio::any_io_executor mExecutor;
+  const HeaderNames& mHeaders;
+  const Clock& mClock;
+  ConnectionPool mPool;
+  uint64_t mConnectionsOpened = 0;
+};
+
+} // namespace rattandyke::gateway
--- /dev/null
+++ b/src/librattandyke/gateway/upstream_client_test.cpp
@@ -0,0 +1,378 @@
+#include "gateway/upstream_client.h"
+
+#include <thread>
+
+#include <gtest/gtest.h>
+
+#include <boost/asio/co_spawn.hpp>
+#include <boost/asio/detached.hpp>
+#include <boost/asio/io_context.hpp>
+#include <boost/asio/read_until.hpp>
+#include <boost/asio/write.hpp>
+
+#include "base/endpoint.h"
+#include "http/headers.h"
+#include "http/signal.h"
+
+namespace rattandyke::gateway {
+namespace {
+
+namespace asio = boost::asio;
+using asio::ip::tcp;
+using http::kAwait;
+using std::chrono::milliseconds;
+
+const HeaderNames kNames{ "Id",      "Deadline", "Signature", "Expected",
+                          "Not-Run", "Instance", "Key" };
+
+/// Longer than UpstreamClient waits for a connection.
+constexpr milliseconds kLongerThanConnectTimeout{ 300 };
+
+/// Upstream that responds to each request with the next of the given texts, and
+/// closes the connection after the last.
+class ScriptedUpstream
+{
+public:
+  ScriptedUpstream(asio::io_context& aContext, std::vector<std::string> aTexts)
+    : mAcceptor(aContext, { asio::ip::make_address("127.0.0.1"), 0 })
+    , mTexts(std::move(aTexts))
+  {
+    asio::co_spawn(aContext, Accept(), asio::detached);
+  }
+
+  std::string Address() const
+  {
+    return "127.0.0.1:" + std::to_string(mAcceptor.local_endpoint().port());
+  }
+
+  const std::vector<std::string>& Heads() const { return mHeads; }
+  size_t Connections() const { return mConnections; }
+
+private:
+  asio::awaitable<void> Accept()
+  {
+    for (;;) {
+      auto [error, socket] = co_await mAcceptor.async_accept(kAwait);
+      if (error) {
+        co_return;
+      }
+      ++mConnections;
+      co_await Serve(std::move(socket));
+    }
+  }
+
+  asio::awaitable<void> Serve(tcp::socket aSocket)
+  {
+    std::string received;
+    while (mNext < mTexts.size()) {
+      auto [error, size] = co_await asio::async_read_until(
+        aSocket, asio::dynamic_buffer(received), "\r\n\r\n", kAwait);
+      if (error) {
+        co_return;
+      }
+      mHeads.push_back(received.substr(0, size));
+      received.erase(0, size);
+      const std::string text = mTexts[mNext++];
+      co_await asio::async_write(aSocket, asio::buffer(text), kAwait);
+    }
+  }
+
+  tcp::acceptor mAcceptor;
+  std::vector<std::string> mTexts;
+  std::vector<std::string> mHeads;
+  size_t mNext = 0;
+  size_t mConnections = 0;
+};
+
+std::string
+ResponseTo(const std::string& aId,
+           const std::string& aBody,
+           const std::string& aFields = "Signature: s\r\n",
+           const std::string& aStatus = "200 OK")
+{
+  return "HTTP/1.1 " + aStatus + "\r\nId: " + aId + "\r\n" + aFields +
+         "Content-Length: " + std::to_string(aBody.size()) + "\r\n\r\n" + aBody;
+}
+
+class UpstreamClientTest : public ::testing::Test
+{
+protected:
+  /// Sends aCount requests with the ids "r-1", "r-2", ... in sequence.
+  std::vector<AttemptResult> Send(std::vector<std::string> aTexts,
+                                  size_t aCount = 1)
+  {
+    upstream = std::make_unique<ScriptedUpstream>(context, std::move(aTexts));
+    asio::co_spawn(context, SendAll(aCount), asio::detached);
+    context.run();
+    return std::move(results);
+  }
+
+  asio::awaitable<void> SendAll(size_t aCount)
+  {
+    for (size_t number = 1; number <= aCount; ++number) {
+      auto request = std::make_shared<UpstreamRequest>();
+      request->method = "GET";
+      request->target = "/x";
+      request->requestId = "r-" + std::to_string(number);
+      const UpstreamProcess process{ "i-1", upstream->Address() };
+      results.push_back(co_await client.RoundTrip(
+        process, request, left, std::make_shared<AttemptHandle>()));
+    }
+    context.stop();
+  }
+
+  SystemClock clock;
+  asio::io_context context;
+  UpstreamClient client{ context.get_executor(), kNames, clock };
+  Duration left = std::chrono::seconds{ 1 };
+  std::unique_ptr<ScriptedUpstream> upstream;
+  std::vector<AttemptResult> results;
+};
+
+using Kind = AttemptResult::Kind;
+
+TEST_F(UpstreamClientTest, SendsInstanceAndRemainingTime)
+{
+  const auto attempts = Send({ ResponseTo("r-1", "hello") });
+  ASSERT_EQ(attempts[0].kind, Kind::Response);
+  EXPECT_EQ(attempts[0].response.body, "hello");
+  const std::string& head = upstream->Heads().front();
+  EXPECT_NE(head.find("Expected: i-1\r\n"), std::string::npos);
+  const size_t at = head.find("Deadline: ");
+  ASSERT_NE(at, std::string::npos);
+  EXPECT_LE(std::stoi(head.substr(at + 10)), 1000);
+}
+
+// Guards against work for a caller that is gone: a pause of the host uses up
+// the request's time. The deadline header would be 0, which many upstreams
+// treat as no limit.
+TEST_F(UpstreamClientTest, ExpiredRequestIsNotSent)
+{
+  for (const Duration time :
+       { Duration(milliseconds{ -853 }), Duration::zero() }) {
+    left = time;
+    const auto attempts = Send({ ResponseTo("r-1", "a") });
+    ASSERT_EQ(attempts.size(), 1U);
+    EXPECT_EQ(attempts[0].kind, Kind::NotSent);
+    EXPECT_TRUE(upstream->Heads().empty());
+    context.restart();
+    results.clear();
+  }
+}
+
+TEST_F(UpstreamClientTest, IdleConnectionIsReused)
+{
+  const auto attempts =
+    Send({ ResponseTo("r-1", "a"), ResponseTo("r-2", "b") }, 2);
+  EXPECT_EQ(attempts[1].response.body, "b");
+  EXPECT_EQ(upstream->Connections(), 1U);
+}
+
+// An upstream repeats the response to an earlier request before the expected
+// one. The caller must get the expected one, and the connection must not be
+// reused, as it may carry further duplicates.
+TEST_F(UpstreamClientTest, ResponseToAnotherRequestIsSkipped)
+{
+  const auto attempts =
+    Send({ ResponseTo("r-0", "old") + ResponseTo("r-1", "new"),
+           ResponseTo("r-2", "b") },
+         2);
+  ASSERT_EQ(attempts[0].kind, Kind::Response);
+  EXPECT_EQ(attempts[0].response.body, "new");
+  EXPECT_EQ(attempts[1].response.body, "b");
+  EXPECT_EQ(upstream->Connections(), 2U);
+}
+
+// An upstream sends a second response after the expected one. It must not be
+// taken for the response to the next request.
+TEST_F(UpstreamClientTest, ExtraResponseEndsReuse)
+{
+  const auto attempts =
+    Send({ ResponseTo("r-1", "a") + ResponseTo("r-1", "again"),
+           ResponseTo("r-2", "b") },
+         2);
+  EXPECT_EQ(attempts[0].response.body, "a");
+  EXPECT_EQ(attempts[1].response.body, "b");
+  EXPECT_EQ(upstream->Connections(), 2U);
+}
+
+// A faulty upstream sends a success without its signature, or with a content
+// encoding that was not requested. Neither may reach the caller as a response;
+// the request may have run.
+TEST_F(UpstreamClientTest, UnsignedSuccessIsOutcomeUnknown)
+{
+  EXPECT_EQ(Send({ ResponseTo("r-1", "x", "") })[0].kind, Kind::OutcomeUnknown);
+}
+
+TEST_F(UpstreamClientTest, EncodedSuccessIsOutcomeUnknown)
+{
+  EXPECT_EQ(Send({ ResponseTo(
+              "r-1", "x", "Signature: s\r\nContent-Encoding: gzip\r\n") })[0]
+              .kind,
+            Kind::OutcomeUnknown);
+}
+
+TEST_F(UpstreamClientTest, NonHttpBytesAreOutcomeUnknown)
+{
+  EXPECT_EQ(Send({ "SSH-2.0-x\r\n\r\n" })[0].kind, Kind::OutcomeUnknown);
+}
+
+// The connection breaks in the middle of the body. The received part must not
+// reach the caller as a complete response.
+TEST_F(UpstreamClientTest, TruncatedResponseIsOutcomeUnknown)
+{
+  std::string text = ResponseTo("r-1", "0123456789");
+  text.resize(text.size() - 4);
+  EXPECT_EQ(Send({ text })[0].kind, Kind::OutcomeUnknown);
+}
+
+TEST_F(UpstreamClientTest, MisdirectedRequestIsNotExecuted)
+{
+  EXPECT_EQ(
+    Send({ ResponseTo("r-1", "", "", "421 Misdirected Request") })[0].kind,
+    Kind::NotExecuted);
+}
+
+TEST_F(UpstreamClientTest, NotExecutedHeaderProvesNonExecution)
+{
+  EXPECT_EQ(Send({ ResponseTo(
+              "r-1", "", "Not-Run: 1\r\n", "503 Service Unavailable") })[0]
+              .kind,
+            Kind::NotExecuted);
+}
+
+// A 503 without the not-executed header proves nothing: the request may have
+// run.
+TEST_F(UpstreamClientTest, FailureWithoutProofMayHaveRun)
+{
+  EXPECT_NE(
+    Send({ ResponseTo("r-1", "", "", "503 Service Unavailable") })[0].kind,
+    Kind::NotExecuted);
+}
+
+/// A response of an upstream and the expected classification.
+struct ClassifiedResponse
+{
+  const char* status;
+  const char* fields;
+  Kind expected;
+};
+
+class ClassificationTest
+  : public UpstreamClientTest
+  , public ::testing::WithParamInterface<ClassifiedResponse>
+{};
+
+constexpr const char* kSigned = "Signature: s\r\n";
+constexpr const char* kSignedNotExecuted = "Signature: s\r\nNot-Run: 1\r\n";
+
+// Guards against a status that tells a caller without proof that its request
+// has not run, and against replacing a failure response that the upstream
+// signed.
+TEST_P(ClassificationTest, OnlyProofMeansNotExecuted)
+{
+  const ClassifiedResponse& sample = GetParam();
+  const auto attempts =
+    Send({ ResponseTo("r-1", "x", sample.fields, sample.status) });
+  ASSERT_EQ(attempts.size(), 1U);
+  EXPECT_EQ(attempts[0].kind, sample.expected)
+    << sample.status << " " << sample.fields;
+}
+
+INSTANTIATE_TEST_SUITE_P(
+  Statuses,
+  ClassificationTest,
+  ::testing::Values(
+    ClassifiedResponse{ "408 Request Timeout", kSigned, Kind::OutcomeUnknown },
+    ClassifiedResponse{ "429 Too Many Requests",
+                        kSigned,
+                        Kind::OutcomeUnknown },
+    ClassifiedResponse{ "503 Service Unavailable",
+                        kSigned,
+                        Kind::OutcomeUnknown },
+    ClassifiedResponse{ "503 Service Unavailable", "", Kind::OutcomeUnknown },
+    ClassifiedResponse{ "408 Request Timeout",
+                        kSignedNotExecuted,
+                        Kind::NotExecuted },
+    ClassifiedResponse{ "421 Misdirected Request", kSigned, Kind::NotExecuted },
+    ClassifiedResponse{ "429 Too Many Requests",
+                        kSignedNotExecuted,
+                        Kind::NotExecuted },
+    ClassifiedResponse{ "503 Service Unavailable",
+                        kSignedNotExecuted,
+                        Kind::NotExecuted },
+    ClassifiedResponse{ "500 Internal Server Error", kSigned, Kind::Response },
+    ClassifiedResponse{ "504 Gateway Timeout", kSigned, Kind::Response },
+    ClassifiedResponse{ "502 Bad Gateway", "", Kind::OutcomeUnknown },
+    ClassifiedResponse{ "200 OK", kSignedNotExecuted, Kind::Response }));
+
+TEST_F(UpstreamClientTest, UnreachableUpstreamIsNotSent)
+{
+  tcp::acceptor closed(context, { asio::ip::make_address("127.0.0.1"), 0 });
+  const auto port = closed.local_endpoint().port();
+  closed.close();
+  AttemptResult result;
+  auto request = std::make_shared<UpstreamRequest>();
+  request->method = "GET";
+  request->target = "/x";
+  request->requestId = "r-1";
+  asio::co_spawn(
+    context,
+    client.RoundTrip(
+      UpstreamProcess{ "i-1", "127.0.0.1:" + std::to_string(port) },
+      request,
+      std::chrono::seconds{ 1 },
+      std::make_shared<AttemptHandle>()),
+    [&](const std::exception_ptr&, AttemptResult aResult) {
+      result = std::move(aResult);
+    });
+  context.run();
+  EXPECT_EQ(result.kind, Kind::NotSent);
+}
+
+// Guards against a request that its connect timer ends: the host pauses, and
+// the connection is established just as the timer expires. The timer's handler
+// runs although the timer is cancelled.
+TEST_F(UpstreamClientTest, LateConnectTimerDoesNotEndTheRequest)
+{
+  upstream = std::make_unique<ScriptedUpstream>(
+    context, std::vector<std::string>{ ResponseTo("r-1", "a") });
+  asio::co_spawn(context, SendAll(1), asio::detached);
+  while (client.ConnectionsOpened() == 0) {
+    context.poll_one();
+  }
+  std::this_thread::sleep_for(kLongerThanConnectTimeout);
+  context.run();
+  EXPECT_EQ(results.at(0).kind, Kind::Response) << results.at(0).reason;
+}
+
+// Guards against requests of unknown outcome: an upstream restarts with the
+// same id and address. A connection to the earlier process still looks open and
+// must not be reused.
+TEST(ConnectionPoolTest, ConnectionsAreReusedWithinOneIncarnation)
+{
+  asio::io_context context;
+  ConnectionPool pool;
+  const Instant now{ std::chrono::hours{ 1 } };
+  tcp::acceptor acceptor(context, { asio::ip::address_v4::loopback(), 0 });
+  const auto connect = [&] {
+    auto connection = std::make_shared<UpstreamConnection>(
+      asio::any_io_executor(context.get_executor()));
+    connection->socket.connect(acceptor.local_endpoint());
+    connection->usableUntil = now + std::chrono::seconds{ 9 };
+    return connection;
+  };
+  const UpstreamProcess earlier{ "i-1", "10.0.0.1:80", 100 };
+  const UpstreamProcess later{ "i-1", "10.0.0.1:80", 200 };
+  pool.Put(earlier, connect());
+  EXPECT_NE(pool.Take(earlier, now), nullptr);
+  pool.Put(earlier, connect());
+  EXPECT_EQ(pool.Take(later, now), nullptr);
+  pool.Put(earlier, connect());
+  EXPECT_EQ(pool.Take(later, now), nullptr);
+  pool.Put(later, connect());
+  EXPECT_NE(pool.Take(later, now), nullptr);
+}
+
+} // namespace
+} // namespace rattandyke::gateway
