--- a/src/librattandyke/gateway/range_assigner.h
+++ b/src/librattandyke/gateway/range_assigner.h
@@ -110,8 +110,9 @@
   /// Interval of calls of Tick.
   static constexpr Duration kTick = std::chrono::milliseconds{ 100 };
 
-  /// @return how many times the loads of a service's owners were computed.
-  /// Each computation visits all instances, and all segments of the service.
+  /// @return the number of times that the loads of a service's owners were
+  /// computed. Each computation visits all instances, and all segments of the
+  /// service.
   uint64_t LoadComputations() const { return mLoadComputations; }
 
   /// @return the number of instance statuses, instances at the same address and
@@ -194,8 +195,8 @@
     std::deque<std::pair<Instant, uint32_t>> pendingGrantOrder;
     /// Time at which each hot key was last moved.
     std::map<uint32_t, Instant> hotKeyMoves;
-    /// Loads of the active instances, as of the state at loadsIndex; see
-    /// OwnerLoadsOf.
+    /// Cached result of ComputeOwnerLoads for the state at loadsIndex, the sum
+    /// of its speeds, and whether it must be computed again; see OwnerLoadsOf.
     OwnerLoads ownerLoads;
     double totalSpeed = 0;
     std::optional<LogIndex> loadsIndex;
--- a/src/librattandyke/gateway/range_assigner_moves.cpp
+++ b/src/librattandyke/gateway/range_assigner_moves.cpp
@@ -25,17 +25,18 @@
 /// An instance takes a whole free range if its load then is at most this
 /// multiple of its balanced share.
 constexpr double kWholeRangeTolerance = 1.25;
-/// A free range that fits no instance is split after kSplitAfter among the
-/// instances that send heartbeats, and granted to any of them after
-/// kForceAfter: keys without an owner are worse than keys with an overloaded
-/// owner. With a dozen instances a service gets a heartbeat about every 100
-/// ms.
+/// A free range that no instance takes whole waits until the service has had
+/// free keys for kSplitAfter. Then each instance that sends a heartbeat takes a
+/// part of it, and after kForceAfter a larger part: keys without an owner are
+/// worse than keys with an overloaded owner. With a dozen instances a service
+/// gets a heartbeat about every 100 ms.
 constexpr Duration kSplitAfter = milliseconds{ 150 };
 constexpr Duration kForceAfter = milliseconds{ 600 };
-/// Time for which an instance takes no free keys after it released some.
+/// Time for which an instance takes no free keys after it released some, unless
+/// the service has had free keys for kForceAfter.
 constexpr Duration kReacquireDelay = milliseconds{ 1500 };
-/// Least load that an instance takes when a range is split or forced on it,
-/// however loaded it is, as a fraction of its balanced share.
+/// Least load that an instance takes after kSplitAfter and after kForceAfter,
+/// as a fraction of its balanced share, however loaded it is.
 constexpr double kSplitShare = 0.5;
 constexpr double kForcedShare = 1.5;
 
@@ -59,9 +60,9 @@
 /// share.
 constexpr double kMinMoveShare = 0.15;
 /// A hot key alone uses at least this fraction of its owner's slots, and can't
-/// be divided. It is moved if it makes up at least kHotKeyMinLoadShare of its
-/// owner's load and another instance is at least kHotKeyMinSpeedup times as
-/// fast.
+/// be divided. If its owner has no other hot key, it is moved only if it makes
+/// up at least kHotKeyMinLoadShare of the owner's load and another instance is
+/// more than kHotKeyMinSpeedup times as fast.
 constexpr double kHotKeyUtilization = 0.95;
 constexpr double kHotKeyMinLoadShare = 0.6;
 constexpr double kHotKeyMinSpeedup = 1.4;
