--- a/src/evidence.health/evidence_health.h
+++ b/src/evidence.health/evidence_health.h
@@ -1,4 +1,5 @@
-/// Health plug-in "evidence": judges upstreams by what this host saw itself.
+/// Health plug-in "evidence": outlier ejection based on the outcomes of this
+/// host's own requests.
 #pragma once
 
 #include <map>
@@ -8,12 +9,17 @@
 
 namespace rattandyke::health {
 
-/// Ejects an upstream after several failures in a row, for a time that doubles
-/// with each ejection, and then lets single requests through until one
-/// succeeds. At most half of a service is ejected at a time: when more fail at
-/// once, the cause lies elsewhere and refusing everything would make a partial
-/// fault a whole one. Shedding is no failure: it halves the slots in use, and
-/// each success gives a part back.
+/// Passive health check for the upstreams of one service.
+///
+/// Ejects an upstream after five consecutive failures. The ejection time
+/// doubles with each repeated ejection, from 250 ms up to 4 s. After it, single
+/// requests pass as probes; the first success ends the ejection. At most half
+/// of a service's upstreams are ejected at a time: when more fail at once, the
+/// cause is likely elsewhere, and ejecting them all would turn a partial outage
+/// into a complete one.
+///
+/// Load shedding does not count as a failure. Each shed request halves the
+/// upstream's allowed slots, and each success restores a fraction of a slot.
 class EvidenceHealth final : public Health
 {
 public:
@@ -26,14 +32,17 @@
 private:
   struct Upstream
   {
+    /// Slots that the upstream announced; at least 1.
     uint32_t slots = 1;
-    /// Slots in use, a fraction included; grows with each success.
-    double allowed = 1;
-    Instant started{};
-    uint32_t failuresInRow = 0;
+    /// Limit for the slots to use, from 1 to slots; halved by shedding, raised
+    /// by fractions of a slot by successes.
+    double allowedSlots = 1;
+    Instant startedAt{};
+    uint32_t consecutiveFailures = 0;
+    /// Ejections since the last success.
     uint32_t ejections = 0;
-    /// Ejected: when the next probe may pass.
-    std::optional<Instant> probeAt;
+    /// Set while ejected: time from which the next probe may pass.
+    std::optional<Instant> nextProbeAt;
   };
 
   void On(const Evidence& aEvent, Instant aNow);
@@ -41,7 +50,7 @@
   void OnSuccess(Upstream& aUpstream);
   void OnFailure(Upstream& aUpstream, Instant aNow);
   bool MayEject() const;
-  uint32_t SlotsNow(const Upstream& aUpstream, Instant aNow) const;
+  uint32_t UsableSlots(const Upstream& aUpstream, Instant aNow) const;
 
   const Settings mSettings;
   std::map<UpstreamId, Upstream> mUpstreams;
--- a/src/evidence.health/evidence_health_test.cpp
+++ b/src/evidence.health/evidence_health_test.cpp
@@ -16,7 +16,7 @@
 }
 
 Members
-MembersOf(int aCount, Duration aAge = 1h)
+MakeMembers(int aCount, Duration aAge = 1h)
 {
   Members members;
   for (int i = 0; i < aCount; ++i) {
@@ -26,23 +26,24 @@
 }
 
 void
-FailTimes(EvidenceHealth& aHealth, int aUpstream, int aTimes, Instant aNow)
+ReportFailures(EvidenceHealth& aHealth, int aUpstream, int aTimes, Instant aNow)
 {
   for (int i = 0; i < aTimes; ++i) {
     aHealth.Step(Evidence{ Id(aUpstream), Observation::Unreachable }, aNow);
   }
 }
 
-/// An upstream answers nothing though it calls itself healthy. After five
-/// failures its callers hear so at once, with the time of the next probe, and
-/// one request at a time finds out whether it is back.
+/// Failure: an upstream stops responding while it still reports itself healthy.
+/// After five failures, requests are refused immediately with the time to the
+/// next probe. Then one request passes as a probe, and its success ends the
+/// ejection.
 TEST(EvidenceHealth, EjectsProbesAndReadmits)
 {
   EvidenceHealth health({});
-  health.Step(MembersOf(4), kStart);
-  FailTimes(health, 0, 4, kStart);
+  health.Step(MakeMembers(4), kStart);
+  ReportFailures(health, 0, 4, kStart);
   EXPECT_TRUE(health.Judge(Id(0), kStart).accept);
-  FailTimes(health, 0, 1, kStart);
+  ReportFailures(health, 0, 1, kStart);
   const Verdict verdict = health.Judge(Id(0), kStart);
   EXPECT_FALSE(verdict.accept);
   EXPECT_EQ(verdict.retryAfter, 250ms);
@@ -55,40 +56,42 @@
   EXPECT_TRUE(health.Ejected(later + 5ms).empty());
 }
 
-/// Everything fails at once, as when this host's own network is at fault.
-/// Half of the service stays reachable, so that the fault is not made whole.
-TEST(EvidenceHealth, NeverEjectsMoreThanHalf)
+/// Failure: all upstreams fail at once, for example because of this host's own
+/// network. At least half of the service must stay in use, so that ejections do
+/// not turn a partial outage into a complete one.
+TEST(EvidenceHealth, EjectsAtMostHalf)
 {
   EvidenceHealth health({});
-  health.Step(MembersOf(5), kStart);
+  health.Step(MakeMembers(5), kStart);
   for (int i = 0; i < 5; ++i) {
-    FailTimes(health, i, 50, kStart);
+    ReportFailures(health, i, 50, kStart);
   }
   EXPECT_EQ(health.Ejected(kStart).size(), 2u);
 
   EvidenceHealth single({});
-  single.Step(MembersOf(1), kStart);
-  FailTimes(single, 0, 50, kStart);
+  single.Step(MakeMembers(1), kStart);
+  ReportFailures(single, 0, 50, kStart);
   EXPECT_TRUE(single.Judge(Id(0), kStart).accept);
 }
 
-/// A new upstream with four slots warms up for ten seconds. It gets one slot at
-/// first and all at the end; full load at once would make it answer late.
-TEST(EvidenceHealth, RampsAColdStart)
+/// A new upstream with four slots has a cold start of ten seconds. It starts
+/// with one slot and gets all four at the end, because it would respond late
+/// under full load from the start.
+TEST(EvidenceHealth, RampsSlotsDuringColdStart)
 {
   EvidenceHealth health({ .coldStart = 10s });
-  health.Step(MembersOf(1, 0s), kStart);
+  health.Step(MakeMembers(1, 0s), kStart);
   EXPECT_EQ(health.Judge(Id(0), kStart).slots, 1u);
   EXPECT_EQ(health.Judge(Id(0), kStart + 5s).slots, 2u);
   EXPECT_EQ(health.Judge(Id(0), kStart + 10s).slots, 4u);
 }
 
-/// An upstream sheds: it is alive, so it is not ejected, but it gets half the
-/// load, and more again as its answers succeed.
-TEST(EvidenceHealth, SheddingHalvesTheSlotsInUse)
+/// An upstream that sheds requests is not ejected. Each shed request halves its
+/// slots, down to one, and successes restore them.
+TEST(EvidenceHealth, SheddingHalvesSlots)
 {
   EvidenceHealth health({});
-  health.Step(MembersOf(2), kStart);
+  health.Step(MakeMembers(2), kStart);
   for (int i = 0; i < 10; ++i) {
     health.Step(Evidence{ Id(0), Observation::Shed }, kStart);
   }
--- a/src/fair.admission/fair_queue.cpp
+++ b/src/fair.admission/fair_queue.cpp
@@ -7,29 +7,37 @@
 
 namespace {
 
-constexpr double kLeastWeight = 0.01;
-/// Units above the mean that still count as within it.
-constexpr double kBurst = 8;
-/// Use counts half as much after about 0.7 of this.
-constexpr std::chrono::duration<double> kMemory{ 2.0 };
-/// Usage worth less than this part of a unit is forgotten.
-constexpr double kForgotten = 0.01;
-/// Far from what a double can hold.
-constexpr double kLargestScale = 1e100;
-/// Share of the newest request in the mean service time.
-constexpr double kNewestShare = 0.1;
-/// Starts that a rate limit lets pass at once, in seconds of its rate.
-constexpr double kRateBurst = 0.1;
-/// Customers remembered for their debt or rate; more only if they are busy.
-constexpr size_t kMostRemembered = 4096;
-/// An upstream cannot ask for a longer pause.
-constexpr Duration kLongestPause = std::chrono::seconds(5);
-constexpr Duration kLeastRetryAfter = std::chrono::milliseconds(50);
+/// Floor for configured weights; avoids a division by zero.
+constexpr double kMinWeight = 0.01;
+/// Units by which a customer's usage may exceed the mean while the customer
+/// still takes turns with the others.
+constexpr double kBurstUnits = 8;
+/// Time constant in seconds of the exponential decay of usage; the half-life is
+/// about 0.7 of it.
+constexpr std::chrono::duration<double> kUsageTimeConstant{ 2.0 };
+/// Usage below this fraction of a unit is treated as zero for idle customers.
+constexpr double kNegligibleUnits = 0.01;
+/// Usage is rescaled when mUsageScale reaches this value, far below the
+/// overflow of a double.
+constexpr double kMaxUsageScale = 1e100;
+/// Weight of the newest sample in the moving average of the service time.
+constexpr double kServiceTimeSmoothing = 0.1;
+/// Capacity of the rate limit's token bucket, in seconds of its rate; the
+/// bucket holds at least one token.
+constexpr double kRateBurstSeconds = 0.1;
+/// At this number of customers, an arriving request erases all idle customers
+/// with their usage and tokens. Busy customers always stay, so the number can
+/// be exceeded.
+constexpr size_t kMaxTrackedCustomers = 4096;
+/// Upper limit for the pause that an upstream's Retry-After sets.
+constexpr Duration kMaxPause = std::chrono::seconds(5);
+/// Lower limit for the retry delay in Code::Overloaded refusals.
+constexpr Duration kMinRetryAfter = std::chrono::milliseconds(50);
 
 double
 WeightOf(const Share& aShare)
 {
-  return std::max(aShare.weight, kLeastWeight);
+  return std::max(aShare.weight, kMinWeight);
 }
 
 Duration
@@ -54,7 +62,7 @@
 FairQueue::FairQueue(Settings aSettings)
   : mSettings(aSettings)
   , mSlots(aSettings.slots)
-  , mServiceTime(std::max<Duration>(aSettings.serviceTime, Duration(1)))
+  , mMeanServiceTime(std::max<Duration>(aSettings.serviceTime, Duration(1)))
 {
 }
 
@@ -62,145 +70,162 @@
 FairQueue::Step(const Event& aEvent, Instant aNow)
 {
   mNow = aNow;
-  Rescale();
-  std::visit([this](const auto& aEach) { On(aEach); }, aEvent);
-  RefuseLate();
-  Fill();
+  AdvanceUsageScale();
+  std::visit([this](const auto& aAlternative) { On(aAlternative); }, aEvent);
+  RefuseExpired();
+  AdmitQueued();
   return std::exchange(mEffects, {});
 }
 
 void
 FairQueue::On(const Offer& aEvent)
 {
-  const auto customer = CustomerOf(aEvent);
-  if (const auto objection = Objection(aEvent, customer->second)) {
-    mEffects.emplace_back(*objection);
-    Forget(customer);
+  const auto customer = FindOrAddCustomer(aEvent);
+  if (const auto refusal = RefusalFor(aEvent, customer->second)) {
+    mEffects.emplace_back(*refusal);
+    EraseIfUnneeded(customer);
     return;
   }
   Enqueue(aEvent, customer);
 }
 
+/// Finds or adds the customer of a request and updates its share. A new
+/// customer starts with a full token bucket.
 FairQueue::Customers::iterator
-FairQueue::CustomerOf(const Offer& aOffer)
+FairQueue::FindOrAddCustomer(const Offer& aOffer)
 {
-  if (mCustomers.size() >= kMostRemembered) {
-    ForgetIdle();
+  if (mCustomers.size() >= kMaxTrackedCustomers) {
+    EraseIdleCustomers();
   }
   const auto [customer, isNew] = mCustomers.try_emplace(aOffer.customer);
   if (isNew) {
     customer->second.tokens =
-      std::max(1.0, aOffer.share.ratePerSecond * kRateBurst);
-    customer->second.refilled = mNow;
+      std::max(1.0, aOffer.share.ratePerSecond * kRateBurstSeconds);
+    customer->second.refilledAt = mNow;
   } else {
-    Count(customer->second, -1);
+    AddToTotals(customer->second, -1);
   }
   customer->second.share = aOffer.share;
-  Count(customer->second, 1);
+  AddToTotals(customer->second, 1);
   return customer;
 }
 
+/// Erases every customer that has no queued and no running requests.
 void
-FairQueue::ForgetIdle()
+FairQueue::EraseIdleCustomers()
 {
   for (auto next = mCustomers.begin(); next != mCustomers.end();) {
     const auto customer = next++;
     const bool idle =
       customer->second.queue.empty() && customer->second.running == 0;
     if (idle) {
-      Count(customer->second, -1);
+      AddToTotals(customer->second, -1);
       mCustomers.erase(customer);
     }
   }
 }
 
-/// Adds the customer to the sums, or takes it out.
+/// Adds the customer's weight and usage to the totals.
+/// @param aSign 1 to add, -1 to subtract.
 void
-FairQueue::Count(const Customer& aCustomer, double aSign)
+FairQueue::AddToTotals(const Customer& aCustomer, double aSign)
 {
   const double weight = WeightOf(aCustomer.share);
-  mWeights += aSign * weight;
-  mUsed = std::max(mUsed + aSign * weight * aCustomer.usage, 0.0);
+  mTotalWeight += aSign * weight;
+  mTotalWeightedUsage =
+    std::max(mTotalWeightedUsage + aSign * weight * aCustomer.usage, 0.0);
 }
 
-/// The usage up to which customers are served in turn: the mean and a short
-/// burst, else customers of equal size would overtake each other, which helps
-/// none of them and spreads their waits.
+/// Returns the usage up to which customers take turns: the weighted mean plus a
+/// burst. Without the burst, customers with equal demand
+/// would keep overtaking each other, which only makes their wait times vary
+/// more.
 double
-FairQueue::FairUsage() const
+FairQueue::FairUsageLimit() const
 {
-  const double mean = mWeights > 0 ? mUsed / mWeights : 0;
-  return mean + kBurst * mScale;
+  const double mean = mTotalWeight > 0 ? mTotalWeightedUsage / mTotalWeight : 0;
+  return mean + kBurstUnits * mUsageScale;
 }
 
+/// Checks the deadline, the queue limits and the rate limit of a new request,
+/// and takes a rate limit token if it passes.
+/// @return the refusal, or none if the request may be queued.
 std::optional<Refuse>
-FairQueue::Objection(const Offer& aOffer, Customer& aCustomer)
+FairQueue::RefusalFor(const Offer& aOffer, Customer& aCustomer)
 {
-  if (mNow + mServiceTime > aOffer.deadline && !mRunning.empty()) {
+  if (mNow + mMeanServiceTime > aOffer.deadline && !mRunning.empty()) {
     return Refuse{ aOffer.ticket, Code::DeadlineExceeded, Duration{} };
   }
-  const Duration wait = ExpectedWait(aCustomer);
+  const Duration estimatedWait = EstimateWait(aCustomer);
   const Instant admitBy =
     std::min(aOffer.admitBy, mNow + mSettings.maxQueueTime);
-  const bool late =
-    mNow + wait > admitBy || mNow + wait + mServiceTime > aOffer.deadline;
-  const bool full = aCustomer.queue.size() >= mSettings.maxQueuedEach;
-  // While nothing runs the estimate cannot improve, so it must not refuse: one
-  // frozen upstream that woke up would stay shut out for good.
-  const bool trusted = !mRunning.empty() || mNow < mPausedUntil;
-  if (full || (late && trusted)) {
+  const bool isTooLate =
+    mNow + estimatedWait > admitBy ||
+    mNow + estimatedWait + mMeanServiceTime > aOffer.deadline;
+  const bool isQueueFull = aCustomer.queue.size() >= mSettings.maxQueuedEach;
+  // Only finished requests update the service time estimate. While nothing
+  // runs, a high estimate would never come down, and an upstream that has
+  // recovered from a freeze would never get requests again.
+  const bool mayUseEstimate = !mRunning.empty() || mNow < mPausedUntil;
+  if (isQueueFull || (isTooLate && mayUseEstimate)) {
     return Refuse{ aOffer.ticket,
                    Code::Overloaded,
-                   std::max(wait, kLeastRetryAfter) };
+                   std::max(estimatedWait, kMinRetryAfter) };
   }
   if (!TakeToken(aCustomer)) {
-    const double missing = 1 - aCustomer.tokens;
-    const std::chrono::duration<double> refill(missing /
-                                               aCustomer.share.ratePerSecond);
+    const double missingTokens = 1 - aCustomer.tokens;
+    const std::chrono::duration<double> refillTime(
+      missingTokens / aCustomer.share.ratePerSecond);
     return Refuse{ aOffer.ticket,
                    Code::LimitExceeded,
-                   std::chrono::duration_cast<Duration>(refill) };
+                   std::chrono::duration_cast<Duration>(refillTime) };
   }
   return std::nullopt;
 }
 
-/// The wait of a request that joins the end of its customer's queue: its own
-/// before it, and of each other customer those that come before by usage.
+/// Estimates the queueing time of a request that joins the end of its
+/// customer's queue. The requests ahead of it are those in its customer's
+/// queue, and from each other customer the number that its lower usage lets go
+/// first. The result includes the rest of the upstream's pause.
 Duration
-FairQueue::ExpectedWait(const Customer& aCustomer) const
+FairQueue::EstimateWait(const Customer& aCustomer) const
 {
   const Duration pause = std::max<Duration>(mPausedUntil - mNow, Duration{});
-  if (mRunning.size() < mSlots && mWaiting.empty()) {
+  if (mRunning.size() < mSlots && mQueuedRequests.empty()) {
     return pause;
   }
-  const auto own = static_cast<double>(aCustomer.queue.size());
-  const double reached =
-    std::max(aCustomer.usage + own * UnitOf(aCustomer), FairUsage());
-  double ahead = own + 1;
-  for (const auto& [usage, customer] : mOrder) {
-    if (usage > reached) {
+  const auto ownQueued = static_cast<double>(aCustomer.queue.size());
+  const double usageAtTurn = std::max(
+    aCustomer.usage + ownQueued * UsagePerUnit(aCustomer), FairUsageLimit());
+  double ahead = ownQueued + 1;
+  for (const auto& [usage, customer] : mUsageOrder) {
+    if (usage > usageAtTurn) {
       break;
     }
     if (&customer->second != &aCustomer) {
-      const double before = (reached - usage) / UnitOf(customer->second) + 1;
-      ahead +=
-        std::min(before, static_cast<double>(customer->second.queue.size()));
+      const double requestsAhead =
+        (usageAtTurn - usage) / UsagePerUnit(customer->second) + 1;
+      ahead += std::min(requestsAhead,
+                        static_cast<double>(customer->second.queue.size()));
     }
   }
   const double slots = std::max<double>(mSlots, 1);
-  return pause + Scaled(std::max(mServiceTime, Stall()), ahead / slots);
+  return pause + Scaled(std::max(mMeanServiceTime, StallTime()), ahead / slots);
 }
 
-/// How long every slot has been busy without one coming free. An upstream that
-/// answers nothing any more, but still announces itself, would otherwise keep
-/// each request waiting in vain for the whole queue time; what has taken so
-/// long will likely take as long again.
+/// Returns the time since the last admission or completion, or zero if a slot
+/// is free. EstimateWait uses it as a lower bound for the service time.
+/// Otherwise, when an upstream stops responding but keeps sending heartbeats,
+/// each request would wait for the whole maxQueueTime before it is refused.
 Duration
-FairQueue::Stall() const
+FairQueue::StallTime() const
 {
   return mRunning.size() < mSlots ? Duration{} : mNow - mLastProgress;
 }
 
+/// Refills the customer's token bucket and takes one token.
+/// @return false if the bucket has less than one token; true without a rate
+/// limit.
 bool
 FairQueue::TakeToken(Customer& aCustomer)
 {
@@ -208,10 +233,10 @@
   if (rate <= 0) {
     return true;
   }
-  const double most = std::max(1.0, rate * kRateBurst);
-  const double earned = rate * Seconds(mNow - aCustomer.refilled);
-  aCustomer.tokens = std::min(most, aCustomer.tokens + earned);
-  aCustomer.refilled = mNow;
+  const double capacity = std::max(1.0, rate * kRateBurstSeconds);
+  const double earned = rate * Seconds(mNow - aCustomer.refilledAt);
+  aCustomer.tokens = std::min(capacity, aCustomer.tokens + earned);
+  aCustomer.refilledAt = mNow;
   if (aCustomer.tokens < 1) {
     return false;
   }
@@ -222,14 +247,16 @@
 void
 FairQueue::Enqueue(const Offer& aOffer, Customers::iterator aCustomer)
 {
-  const Instant latest = std::min(
+  const Instant expiresAt = std::min(
     { aOffer.admitBy, aOffer.deadline, mNow + mSettings.maxQueueTime });
-  const auto expiry = mExpiries.emplace(latest, aOffer.ticket);
-  mWaiting.emplace(aOffer.ticket, Waiting{ aOffer, aCustomer, expiry });
+  const auto expiry = mExpiries.emplace(expiresAt, aOffer.ticket);
+  mQueuedRequests.emplace(aOffer.ticket,
+                          QueuedRequest{ aOffer, aCustomer, expiry });
   aCustomer->second.queue.push_back(aOffer.ticket);
-  if (!aCustomer->second.turn) {
-    aCustomer->second.waitingSince = ++mTurns;
-    aCustomer->second.turn = mOrder.emplace(aCustomer->second.usage, aCustomer);
+  if (!aCustomer->second.position) {
+    aCustomer->second.turnSequence = ++mLastSequence;
+    aCustomer->second.position =
+      mUsageOrder.emplace(aCustomer->second.usage, aCustomer);
   }
 }
 
@@ -241,11 +268,11 @@
     const auto customer = running->second;
     mRunning.erase(running);
     --customer->second.running;
-    Charge(customer, -1); // The slot was not used.
-    return Forget(customer);
+    Charge(customer, -1); // Refunds the charge for the unused slot.
+    return EraseIfUnneeded(customer);
   }
-  if (mWaiting.contains(aEvent.ticket)) {
-    Remove(aEvent.ticket);
+  if (mQueuedRequests.contains(aEvent.ticket)) {
+    RemoveQueued(aEvent.ticket);
   }
 }
 
@@ -260,59 +287,65 @@
   mRunning.erase(running);
   --customer->second.running;
   mLastProgress = mNow;
-  Charge(customer, Seconds(aEvent.serviceTime) / Seconds(mServiceTime) - 1);
+  Charge(customer, Seconds(aEvent.serviceTime) / Seconds(mMeanServiceTime) - 1);
   if (aEvent.ending == Ending::Succeeded) {
-    // Failures are often quick and would make a failing upstream look fast.
-    mServiceTime = Scaled(mServiceTime, 1 - kNewestShare) +
-                   Scaled(aEvent.serviceTime, kNewestShare);
-    mServiceTime = std::max(mServiceTime, Duration(1));
+    // Failures are excluded: they are often quick and would make a failing
+    // upstream look fast.
+    mMeanServiceTime = Scaled(mMeanServiceTime, 1 - kServiceTimeSmoothing) +
+                       Scaled(aEvent.serviceTime, kServiceTimeSmoothing);
+    mMeanServiceTime = std::max(mMeanServiceTime, Duration(1));
   }
   if (aEvent.ending == Ending::Shed) {
-    const Duration pause = std::min(aEvent.retryAfter, kLongestPause);
+    const Duration pause = std::min(aEvent.retryAfter, kMaxPause);
     mPausedUntil = std::max(mPausedUntil, mNow + pause);
   }
-  Forget(customer);
+  EraseIfUnneeded(customer);
 }
 
+/// Changes the customer's usage by aUnits mean service times; negative values
+/// are refunds. The usage doesn't fall below zero.
 void
 FairQueue::Charge(Customers::iterator aCustomer, double aUnits)
 {
   Customer& customer = aCustomer->second;
-  Count(customer, -1);
-  customer.usage = std::max(customer.usage + aUnits * UnitOf(customer), 0.0);
-  Count(customer, 1);
-  if (customer.turn) {
-    mOrder.erase(*customer.turn);
-    customer.turn = mOrder.emplace(customer.usage, aCustomer);
+  AddToTotals(customer, -1);
+  customer.usage =
+    std::max(customer.usage + aUnits * UsagePerUnit(customer), 0.0);
+  AddToTotals(customer, 1);
+  if (customer.position) {
+    mUsageOrder.erase(*customer.position);
+    customer.position = mUsageOrder.emplace(customer.usage, aCustomer);
   }
 }
 
-/// What one unit adds to a customer's usage now.
+/// Returns the usage that a charge of one unit adds to the customer now.
 double
-FairQueue::UnitOf(const Customer& aCustomer) const
+FairQueue::UsagePerUnit(const Customer& aCustomer) const
 {
-  return mScale / WeightOf(aCustomer.share);
+  return mUsageScale / WeightOf(aCustomer.share);
 }
 
-/// Keeps mScale in step with the time, and within what a double can hold.
+/// Advances mUsageScale to the current time. At kMaxUsageScale, divides all
+/// usage by it and resets it to 1, so that it cannot overflow.
 void
-FairQueue::Rescale()
+FairQueue::AdvanceUsageScale()
 {
-  mScale *= std::exp((mNow - mScaledAt) / kMemory);
-  mScaledAt = mNow;
-  if (mScale < kLargestScale) {
+  mUsageScale *= std::exp((mNow - mUsageScaleAt) / kUsageTimeConstant);
+  mUsageScaleAt = mNow;
+  if (mUsageScale < kMaxUsageScale) {
     return;
   }
-  mOrder.clear();
+  mUsageOrder.clear();
   for (auto customer = mCustomers.begin(); customer != mCustomers.end();
        ++customer) {
-    customer->second.usage /= mScale;
-    if (customer->second.turn) {
-      customer->second.turn = mOrder.emplace(customer->second.usage, customer);
+    customer->second.usage /= mUsageScale;
+    if (customer->second.position) {
+      customer->second.position =
+        mUsageOrder.emplace(customer->second.usage, customer);
     }
   }
-  mUsed /= mScale;
-  mScale = 1;
+  mTotalWeightedUsage /= mUsageScale;
+  mUsageScale = 1;
 }
 
 void
@@ -326,14 +359,15 @@
 {
 }
 
-/// Takes a waiting request out.
+/// Removes a queued request from every index, and its customer if no longer
+/// needed.
 void
-FairQueue::Remove(Ticket aTicket)
+FairQueue::RemoveQueued(Ticket aTicket)
 {
-  const auto waiting = mWaiting.find(aTicket);
-  const auto customer = waiting->second.customer;
-  mExpiries.erase(waiting->second.expiry);
-  mWaiting.erase(waiting);
+  const auto queued = mQueuedRequests.find(aTicket);
+  const auto customer = queued->second.customer;
+  mExpiries.erase(queued->second.expiry);
+  mQueuedRequests.erase(queued);
   std::deque<Ticket>& queue = customer->second.queue;
   if (queue.front() == aTicket) {
     queue.pop_front();
@@ -341,108 +375,115 @@
     std::erase(queue, aTicket);
   }
   if (queue.empty()) {
-    LeaveOrder(customer->second);
-    Forget(customer);
+    RemoveFromUsageOrder(customer->second);
+    EraseIfUnneeded(customer);
   }
 }
 
 void
-FairQueue::LeaveOrder(Customer& aCustomer)
+FairQueue::RemoveFromUsageOrder(Customer& aCustomer)
 {
-  mOrder.erase(*aCustomer.turn);
-  aCustomer.turn.reset();
+  mUsageOrder.erase(*aCustomer.position);
+  aCustomer.position.reset();
 }
 
-/// Drops a customer that is idle and of whom nothing need be remembered.
+/// Erases the customer if it is idle, has no rate limit and its usage is
+/// negligible.
 void
-FairQueue::Forget(Customers::iterator aCustomer)
+FairQueue::EraseIfUnneeded(Customers::iterator aCustomer)
 {
   const Customer& customer = aCustomer->second;
-  const bool limited = customer.share.ratePerSecond > 0;
+  const bool hasRateLimit = customer.share.ratePerSecond > 0;
   const bool idle = customer.queue.empty() && customer.running == 0;
-  if (idle && !limited && customer.usage < kForgotten * UnitOf(customer)) {
-    Count(customer, -1);
+  if (idle && !hasRateLimit &&
+      customer.usage < kNegligibleUnits * UsagePerUnit(customer)) {
+    AddToTotals(customer, -1);
     mCustomers.erase(aCustomer);
   }
 }
 
-/// Refuses what waited too long or can no longer finish in time.
+/// Refuses the queued requests whose admission time limit or deadline has
+/// passed.
 void
-FairQueue::RefuseLate()
+FairQueue::RefuseExpired()
 {
   while (!mExpiries.empty() && mExpiries.begin()->first <= mNow) {
     const Ticket ticket = mExpiries.begin()->second;
-    const Waiting& waiting = mWaiting.at(ticket);
-    const Duration wait = ExpectedWait(waiting.customer->second);
-    const bool dead = mNow >= waiting.offer.deadline;
-    mEffects.emplace_back(
-      Refuse{ ticket,
-              dead ? Code::DeadlineExceeded : Code::Overloaded,
-              dead ? Duration{} : std::max(wait, kLeastRetryAfter) });
-    Remove(ticket);
+    const QueuedRequest& queued = mQueuedRequests.at(ticket);
+    const Duration estimatedWait = EstimateWait(queued.customer->second);
+    const bool isPastDeadline = mNow >= queued.offer.deadline;
+    mEffects.emplace_back(Refuse{
+      ticket,
+      isPastDeadline ? Code::DeadlineExceeded : Code::Overloaded,
+      isPastDeadline ? Duration{} : std::max(estimatedWait, kMinRetryAfter) });
+    RemoveQueued(ticket);
   }
 }
 
-/// Gives out the free slots.
+/// Admits queued requests while slots are free and the upstream is not paused.
 void
-FairQueue::Fill()
+FairQueue::AdmitQueued()
 {
   while (mRunning.size() < mSlots && mNow >= mPausedUntil) {
     const auto customer = NextCustomer();
     if (!customer) {
       return;
     }
-    AdmitFrom(*customer);
+    AdmitHeadOf(*customer);
   }
 }
 
 bool
-FairQueue::MayRun(const Customer& aCustomer) const
+FairQueue::IsBelowConcurrencyLimit(const Customer& aCustomer) const
 {
-  const uint32_t most = aCustomer.share.maxConcurrent;
-  return most == 0 || aCustomer.running < most;
+  const uint32_t limit = aCustomer.share.maxConcurrent;
+  return limit == 0 || aCustomer.running < limit;
 }
 
-/// @return whose request is next, or none.
+/// Selects the customer that gets the next free slot; see the class comment.
+/// Customers at their concurrency limit are skipped.
+/// @return none if no queued request may run.
 std::optional<FairQueue::Customers::iterator>
 FairQueue::NextCustomer() const
 {
-  const double fair = FairUsage();
+  const double fairUsageLimit = FairUsageLimit();
   std::optional<Customers::iterator> next;
-  uint64_t oldest = 0;
-  for (const auto& [usage, customer] : mOrder) {
-    if (next && usage > fair) {
+  uint64_t oldestSequence = 0;
+  for (const auto& [usage, customer] : mUsageOrder) {
+    if (next && usage > fairUsageLimit) {
       break;
     }
-    if (!MayRun(customer->second)) {
+    if (!IsBelowConcurrencyLimit(customer->second)) {
       continue;
     }
-    const uint64_t since = customer->second.waitingSince;
-    if (!next || since < oldest) {
+    const uint64_t sequence = customer->second.turnSequence;
+    if (!next || sequence < oldestSequence) {
       next = customer;
-      oldest = since;
+      oldestSequence = sequence;
     }
   }
   return next;
 }
 
+/// Admits the customer's first queued request, or refuses it if it can no
+/// longer finish by its deadline.
 void
-FairQueue::AdmitFrom(Customers::iterator aCustomer)
+FairQueue::AdmitHeadOf(Customers::iterator aCustomer)
 {
   Customer& customer = aCustomer->second;
   const Ticket ticket = customer.queue.front();
-  const Instant deadline = mWaiting.at(ticket).offer.deadline;
-  if (mNow + mServiceTime > deadline && !mRunning.empty()) {
+  const Instant deadline = mQueuedRequests.at(ticket).offer.deadline;
+  if (mNow + mMeanServiceTime > deadline && !mRunning.empty()) {
     mEffects.emplace_back(Refuse{ ticket, Code::DeadlineExceeded, Duration{} });
-    return Remove(ticket);
+    return RemoveQueued(ticket);
   }
   ++customer.running;
-  customer.waitingSince = ++mTurns;
+  customer.turnSequence = ++mLastSequence;
   Charge(aCustomer, 1);
   mLastProgress = mNow;
   mRunning.emplace(ticket, aCustomer);
   mEffects.emplace_back(Admit{ ticket });
-  Remove(ticket);
+  RemoveQueued(ticket);
 }
 
 std::optional<Instant>
--- a/src/fair.admission/fair_queue.h
+++ b/src/fair.admission/fair_queue.h
@@ -1,4 +1,4 @@
-/// Admission plug-in "fair": per-customer queues in front of an upstream.
+/// Admission plug-in "fair": weighted fair queueing per customer.
 #pragma once
 
 #include <deque>
@@ -9,19 +9,26 @@
 
 namespace rattandyke::admission {
 
-/// Remembers the slot time that each customer used lately, over its weight,
-/// and forgets it by and by. A free slot goes to the oldest request of those
-/// customers that used little more than the mean, else to the customer that
-/// used least. So one customer alone may use every slot; customers within their
-/// part are served in turn, and before one that uses more, however
-/// many requests that one has queued; customers that all want more than their
-/// part get slot time in proportion to their weights. A request is charged a
-/// unit (the mean service time) when it is admitted and its real slot time when
-/// it ends, so long requests pay for their length.
+/// Weighted fair queue in front of the slots of one upstream, with one FIFO
+/// queue per customer.
 ///
-/// A request is refused at once if by the estimate it cannot be admitted in
-/// time or finished by its deadline: a refusal early and cheap lets the caller
-/// act while it still can.
+/// A customer's usage is its recent slot time divided by its weight; it decays
+/// exponentially. Customers whose usage is at most the mean plus a burst take
+/// turns: a free slot goes to the one whose last turn was longest ago. If there
+/// is none, the slot goes to the customer with the lowest usage. Consequences:
+/// - A single active customer may use every slot.
+/// - Customers near or below the mean take turns, and go ahead of a customer
+///   above it, however many requests that customer has queued.
+/// - Customers that all demand more than their share get slot time in
+///   proportion to their weights.
+///
+/// Usage is counted in units of the mean service time. A request is charged one
+/// unit when it is admitted; when it finishes, the charge is corrected to its
+/// actual service time, so long requests cost more than short ones.
+///
+/// A request is refused on arrival if the estimates show that it cannot be
+/// admitted in time or finish by its deadline. An early refusal leaves the
+/// caller time to react.
 class FairQueue final : public Admission
 {
 public:
@@ -29,17 +36,18 @@
 
   std::vector<Effect> Step(const Event& aEvent, Instant aNow) override;
   std::optional<Instant> NextTick() const override;
-  size_t Queued() const override { return mWaiting.size(); }
+  size_t Queued() const override { return mQueuedRequests.size(); }
   size_t Running() const override { return mRunning.size(); }
 
 private:
   struct Customer;
-  /// Customers of equal name share one entry; kept while it says anything.
+  /// Keyed by name. An idle customer stays while its usage is not negligible or
+  /// it has a rate limit, see EraseIfUnneeded.
   using Customers = std::map<CustomerName, Customer>;
   using Expiries = std::multimap<Instant, Ticket>;
-  using Order = std::multimap<double, Customers::iterator>;
+  using UsageOrder = std::multimap<double, Customers::iterator>;
 
-  struct Waiting
+  struct QueuedRequest
   {
     Offer offer;
     Customers::iterator customer;
@@ -50,16 +58,18 @@
   {
     Share share;
     std::deque<Ticket> queue;
-    /// Units used, over weight; grown by mScale instead of decaying.
+    /// Units used divided by weight, scaled by mUsageScale at the time of each
+    /// charge. It does not decay itself; the scale grows instead.
     double usage = 0;
     uint32_t running = 0;
-    /// Starts that the rate limit allows now.
+    /// Token bucket of the rate limit: one token per request, as of refilledAt.
     double tokens = 0;
-    Instant refilled{};
-    /// Since when its first request is first: it came or the one before went.
-    uint64_t waitingSince = 0;
-    /// Position in mOrder, if it has requests queued.
-    std::optional<Order::iterator> turn;
+    Instant refilledAt{};
+    /// Sequence number of its last admission, or of the arrival that started
+    /// its queue, whichever is later. The lowest number has the next turn.
+    uint64_t turnSequence = 0;
+    /// Position in mUsageOrder; set while it has requests queued.
+    std::optional<UsageOrder::iterator> position;
   };
 
   void On(const Offer& aEvent);
@@ -68,51 +78,52 @@
   void On(const Slots& aEvent);
   void On(const Tick& aEvent);
 
-  Customers::iterator CustomerOf(const Offer& aOffer);
-  std::optional<Refuse> Objection(const Offer& aOffer, Customer& aCustomer);
-  Duration ExpectedWait(const Customer& aCustomer) const;
-  Duration Stall() const;
+  Customers::iterator FindOrAddCustomer(const Offer& aOffer);
+  std::optional<Refuse> RefusalFor(const Offer& aOffer, Customer& aCustomer);
+  Duration EstimateWait(const Customer& aCustomer) const;
+  Duration StallTime() const;
   bool TakeToken(Customer& aCustomer);
   void Enqueue(const Offer& aOffer, Customers::iterator aCustomer);
-  void Remove(Ticket aTicket);
-  void LeaveOrder(Customer& aCustomer);
-  void Forget(Customers::iterator aCustomer);
-  void ForgetIdle();
-  void Fill();
+  void RemoveQueued(Ticket aTicket);
+  void RemoveFromUsageOrder(Customer& aCustomer);
+  void EraseIfUnneeded(Customers::iterator aCustomer);
+  void EraseIdleCustomers();
+  void AdmitQueued();
   std::optional<Customers::iterator> NextCustomer() const;
-  void AdmitFrom(Customers::iterator aCustomer);
-  void RefuseLate();
-  bool MayRun(const Customer& aCustomer) const;
+  void AdmitHeadOf(Customers::iterator aCustomer);
+  void RefuseExpired();
+  bool IsBelowConcurrencyLimit(const Customer& aCustomer) const;
   void Charge(Customers::iterator aCustomer, double aUnits);
-  void Count(const Customer& aCustomer, double aSign);
-  double UnitOf(const Customer& aCustomer) const;
-  double FairUsage() const;
-  void Rescale();
+  void AddToTotals(const Customer& aCustomer, double aSign);
+  double UsagePerUnit(const Customer& aCustomer) const;
+  double FairUsageLimit() const;
+  void AdvanceUsageScale();
 
   const Settings mSettings;
   uint32_t mSlots;
   Instant mNow{};
   std::vector<Effect> mEffects;
   Customers mCustomers;
-  std::unordered_map<Ticket, Waiting> mWaiting;
+  std::unordered_map<Ticket, QueuedRequest> mQueuedRequests;
   std::unordered_map<Ticket, Customers::iterator> mRunning;
   Expiries mExpiries;
-  /// Customers with requests queued, by usage.
-  Order mOrder;
-  /// Sums over mCustomers, of weight and of usage by weight.
-  double mWeights = 0;
-  double mUsed = 0;
-  /// Numbers Customer::waitingSince.
-  uint64_t mTurns = 0;
-  /// Worth of a unit used now: rises as time passes, which makes older use
-  /// count less without touching every customer.
-  double mScale = 1;
-  Instant mScaledAt{};
-  /// Mean of what requests needed, weighted towards the newest.
-  Duration mServiceTime;
-  /// When a request was last admitted or finished.
+  /// Customers with queued requests, ordered by usage.
+  UsageOrder mUsageOrder;
+  /// Sums over mCustomers: of weight, and of usage multiplied by weight.
+  double mTotalWeight = 0;
+  double mTotalWeightedUsage = 0;
+  /// Last value given to a Customer::turnSequence.
+  uint64_t mLastSequence = 0;
+  /// Weight of a unit charged now. It grows exponentially with time, so that
+  /// older usage counts less without an update of every customer.
+  double mUsageScale = 1;
+  Instant mUsageScaleAt{};
+  /// Exponentially weighted moving average of the service time of successful
+  /// requests; starts at Settings::serviceTime.
+  Duration mMeanServiceTime;
+  /// Time of the last admission or completion.
   Instant mLastProgress{};
-  /// The upstream asked for a pause until then.
+  /// No admissions before this time, as the upstream's Retry-After asked.
   Instant mPausedUntil{};
 };
 
--- a/src/least_moves.placement/least_moves.cpp
+++ b/src/least_moves.placement/least_moves.cpp
@@ -1,29 +1,33 @@
 #include <rattandyke/placement.h>
 
-#include "balance.h"
+#include "plan_builder.h"
 
 namespace rattandyke::placement {
 
 namespace {
 
-/// Gives what has no owner to the least used upstream, empties draining
-/// upstreams, and then moves slots one by one from the most to the least used
-/// upstream while each move lowers the highest use. So a join or leave moves
-/// the minimum, and a balanced service moves nothing.
+/// Placement policy "least_moves": balances utilization with few moves.
+///
+/// It assigns unowned slots and keys to the least utilized upstreams, moves
+/// owned ones away from draining upstreams, and then moves slots one by one
+/// from the most to the least utilized upstream while each move lowers the
+/// highest utilization. In a deadline window, this last step moves slots only
+/// from overloaded upstreams. A joining or leaving upstream causes only the
+/// moves that restore the balance, and a balanced service has none.
 class LeastMoves final : public Policy
 {
 public:
   Plan Decide(const Input& aInput) const override
   {
-    Balance balance(aInput);
-    balance.PlaceFree();
-    balance.EmptyDraining();
+    PlanBuilder builder(aInput);
+    builder.AssignUnowned();
+    builder.MoveOffDraining();
     if (aInput.wishes.deadlineWindow) {
-      balance.RelieveDrowning();
+      builder.RelieveOverloaded();
     } else {
-      balance.Even();
+      builder.BalanceUtilization();
     }
-    return balance.TakePlan();
+    return builder.TakePlan();
   }
 };
 
