--- a/src/fair.admission/fair_queue.cpp
+++ b/src/fair.admission/fair_queue.cpp
@@ -137,9 +137,8 @@
 }
 
 /// Returns the usage up to which customers take turns: the weighted mean plus a
-/// burst. Without the burst, customers with equal demand
-/// would keep overtaking each other, which only makes their wait times vary
-/// more.
+/// burst. Without the burst, customers with equal demand would keep overtaking
+/// each other, which only makes their wait times vary more.
 double
 FairQueue::FairUsageLimit() const
 {
@@ -163,7 +162,7 @@
     mNow + estimatedWait > admitBy ||
     mNow + estimatedWait + mMeanServiceTime > aOffer.deadline;
   const bool isQueueFull = aCustomer.queue.size() >= mSettings.maxQueuedEach;
-  // Only finished requests update the service time estimate. While nothing
+  // Only successful requests update the service time estimate. While nothing
   // runs, a high estimate would never come down, and an upstream that has
   // recovered from a freeze would never get requests again.
   const bool mayUseEstimate = !mRunning.empty() || mNow < mPausedUntil;
@@ -214,7 +213,8 @@
 }
 
 /// Returns the time since the last admission or completion, or zero if a slot
-/// is free. EstimateWait uses it as a lower bound for the service time.
+/// is free. EstimateWait uses it as a lower bound for the service time, because
+/// requests that have taken this long will likely take as long again.
 /// Otherwise, when an upstream stops responding but keeps sending heartbeats,
 /// each request would wait for the whole maxQueueTime before it is refused.
 Duration
--- a/src/fair.admission/fair_queue_test.cpp
+++ b/src/fair.admission/fair_queue_test.cpp
@@ -113,7 +113,7 @@
 
 /// Failure: an upstream never gets requests again after a freeze. The estimated
 /// service time is 60 s and nothing runs. A request with a deadline in 10 s
-/// must be admitted, because only finished requests can lower the estimate.
+/// must be admitted, because only successful requests can lower the estimate.
 TEST(FairQueue, AdmitsToIdleUpstreamDespiteLongEstimate)
 {
   FairQueue queue({ .slots = 1, .serviceTime = 60s });
