--- a/src/least_moves.placement/plan_builder.cpp
+++ b/src/least_moves.placement/plan_builder.cpp
@@ -7,96 +7,105 @@
 
 namespace {
 
-// A cold upstream starts with this share of its capacity, so that it has some
-// keys to warm up with.
-constexpr double kColdShare = 0.1;
-// Of the mean use, for each unit by which churn outweighs imbalance.
-constexpr double kGainPerChurnWeight = 0.05;
-constexpr double kMostChurnWeight = 5;
-constexpr double kRounding = 1e-9;
+/// Share of its capacity with which a cold upstream starts, so that it owns
+/// some keys to warm up with.
+constexpr double kMinColdCapacityShare = 0.1;
+/// Minimum gain of a move, as a fraction of the mean utilization, for each unit
+/// by which the ratio of churn weight to imbalance weight exceeds 1.
+constexpr double kMinGainPerExcessChurn = 0.05;
+/// Upper limit for that excess.
+constexpr double kMaxExcessChurn = 5;
+/// Lower limit for divisors, and relative tolerance for rounding errors.
+constexpr double kEpsilon = 1e-9;
 
+/// Returns the upstream's capacity, reduced in proportion to its age during the
+/// cold start.
 double
-Capacity(const Upstream& aUpstream, std::chrono::milliseconds aColdStart)
+EffectiveCapacity(const Upstream& aUpstream,
+                  std::chrono::milliseconds aColdStart)
 {
   if (aUpstream.age >= aColdStart || aColdStart.count() == 0) {
     return aUpstream.capacity;
   }
-  const double warm = static_cast<double>(aUpstream.age.count()) /
-                      static_cast<double>(aColdStart.count());
-  return aUpstream.capacity * std::max(kColdShare, warm);
+  const double warmShare = static_cast<double>(aUpstream.age.count()) /
+                           static_cast<double>(aColdStart.count());
+  return aUpstream.capacity * std::max(kMinColdCapacityShare, warmShare);
 }
 
 } // namespace
 
-Balance::Balance(const Input& aInput)
+PlanBuilder::PlanBuilder(const Input& aInput)
   : mInput(aInput)
-  , mWork(aInput.upstreams.size())
+  , mUpstreams(aInput.upstreams.size())
   , mMovesLeft(aInput.mostMoves)
 {
-  for (size_t at = 0; at < mWork.size(); ++at) {
-    const Upstream& upstream = mInput.upstreams[at];
-    mWork[at].capacity = Capacity(upstream, mInput.wishes.coldStart);
-    mWork[at].takes = upstream.condition == Condition::Active;
+  for (size_t index = 0; index < mUpstreams.size(); ++index) {
+    const Upstream& upstream = mInput.upstreams[index];
+    mUpstreams[index].capacity =
+      EffectiveCapacity(upstream, mInput.wishes.coldStart);
+    mUpstreams[index].acceptsSlots = upstream.condition == Condition::Active;
   }
-  const size_t share =
+  const size_t expectedSlots =
     mInput.slots.size() / std::max<size_t>(1, mInput.upstreams.size()) + 2;
-  for (Work& work : mWork) {
-    work.slots.reserve(share);
+  for (UpstreamLoad& upstream : mUpstreams) {
+    upstream.slots.reserve(expectedSlots);
   }
   for (uint32_t slot = 0; slot < mInput.slots.size(); ++slot) {
-    const Slot& held = mInput.slots[slot];
-    if (held.owner == kNobody) {
+    const Slot& ownedSlot = mInput.slots[slot];
+    if (ownedSlot.owner == kNobody) {
       continue;
     }
-    mWork[held.owner].load += held.load;
-    if (!held.resting) {
-      mWork[held.owner].slots.push_back(slot);
+    mUpstreams[ownedSlot.owner].load += ownedSlot.load;
+    if (!ownedSlot.resting) {
+      mUpstreams[ownedSlot.owner].slots.push_back(slot);
     }
   }
   for (const HotKey& key : mInput.hotKeys) {
     if (key.owner != kNobody) {
-      mWork[key.owner].load += key.load;
+      mUpstreams[key.owner].load += key.load;
     }
   }
   const auto isLighter = [&](uint32_t aLeft, uint32_t aRight) {
     return mInput.slots[aLeft].load < mInput.slots[aRight].load;
   };
-  std::vector<std::pair<double, uint32_t>> byUse;
-  for (uint32_t at = 0; at < mWork.size(); ++at) {
-    std::vector<uint32_t>& slots = mWork[at].slots;
+  std::vector<std::pair<double, uint32_t>> byUtilization;
+  for (uint32_t index = 0; index < mUpstreams.size(); ++index) {
+    std::vector<uint32_t>& slots = mUpstreams[index].slots;
     if (!std::is_sorted(slots.begin(), slots.end(), isLighter)) {
       std::stable_sort(slots.begin(), slots.end(), isLighter);
     }
-    if (mWork[at].takes) {
-      byUse.emplace_back(Use(at), at);
+    if (mUpstreams[index].acceptsSlots) {
+      byUtilization.emplace_back(Utilization(index), index);
     }
   }
-  // A set is made from a sorted list in linear time.
-  std::sort(byUse.begin(), byUse.end());
-  mByUse = { byUse.begin(), byUse.end() };
+  // Construction of a set from a sorted range takes linear time.
+  std::sort(byUtilization.begin(), byUtilization.end());
+  mByUtilization = { byUtilization.begin(), byUtilization.end() };
 }
 
 double
-Balance::Use(uint32_t aUpstream) const
+PlanBuilder::Utilization(uint32_t aUpstream) const
 {
-  return UseWith(aUpstream, 0);
+  return UtilizationWith(aUpstream, 0);
 }
 
 double
-Balance::UseWith(uint32_t aUpstream, double aMore) const
+PlanBuilder::UtilizationWith(uint32_t aUpstream, double aExtraLoad) const
 {
-  const Work& work = mWork[aUpstream];
-  return (work.load + aMore) / std::max(work.capacity, kRounding);
+  const UpstreamLoad& upstream = mUpstreams[aUpstream];
+  return (upstream.load + aExtraLoad) / std::max(upstream.capacity, kEpsilon);
 }
 
+/// Adds aLoad, which may be negative, to the upstream's load and updates its
+/// position in the ordered sets.
 void
-Balance::Change(uint32_t aUpstream, double aLoad)
+PlanBuilder::AddLoad(uint32_t aUpstream, double aLoad)
 {
-  const std::pair before{ Use(aUpstream), aUpstream };
-  mWork[aUpstream].load += aLoad;
-  const std::pair after{ Use(aUpstream), aUpstream };
-  if (mByUse.erase(before) > 0) {
-    mByUse.insert(after);
+  const std::pair before{ Utilization(aUpstream), aUpstream };
+  mUpstreams[aUpstream].load += aLoad;
+  const std::pair after{ Utilization(aUpstream), aUpstream };
+  if (mByUtilization.erase(before) > 0) {
+    mByUtilization.insert(after);
   }
   if (mSources.erase(before) > 0) {
     mSources.insert(after);
@@ -104,61 +113,64 @@
 }
 
 std::optional<uint32_t>
-Balance::LeastUsed() const
+PlanBuilder::LeastUtilized() const
 {
-  if (mByUse.empty()) {
+  if (mByUtilization.empty()) {
     return std::nullopt;
   }
-  return mByUse.begin()->second;
+  return mByUtilization.begin()->second;
 }
 
 void
-Balance::PlaceSlots(std::vector<uint32_t> aSlots)
+PlanBuilder::AssignSlots(std::vector<uint32_t> aSlots)
 {
-  // Heaviest first: the light ones then fill what is left uneven.
+  // Slots with the highest load first, so that those with low load even out the
+  // remaining differences.
   std::stable_sort(
     aSlots.begin(), aSlots.end(), [&](uint32_t aLeft, uint32_t aRight) {
       return mInput.slots[aLeft].load > mInput.slots[aRight].load;
     });
   for (const uint32_t slot : aSlots) {
-    const std::optional<uint32_t> target = LeastUsed();
+    const std::optional<uint32_t> target = LeastUtilized();
     if (!target) {
       return;
     }
     mPlan.slots.push_back({ slot, *target, Reason::NoOwner });
-    Change(*target, mInput.slots[slot].load);
+    AddLoad(*target, mInput.slots[slot].load);
   }
 }
 
 void
-Balance::PlaceKeys()
+PlanBuilder::AssignHotKeys()
 {
-  for (uint32_t at = 0; at < mInput.hotKeys.size(); ++at) {
-    const HotKey& key = mInput.hotKeys[at];
-    const std::optional<uint32_t> target = LeastUsed();
+  for (uint32_t index = 0; index < mInput.hotKeys.size(); ++index) {
+    const HotKey& key = mInput.hotKeys[index];
+    const std::optional<uint32_t> target = LeastUtilized();
     if (key.owner != kNobody || !target) {
       continue;
     }
-    mPlan.keys.push_back({ at, *target, Reason::HotKey });
-    Change(*target, key.load);
+    mPlan.keys.push_back({ index, *target, Reason::HotKey });
+    AddLoad(*target, key.load);
   }
 }
 
 void
-Balance::PlaceFree()
+PlanBuilder::AssignUnowned()
 {
-  PlaceKeys();
+  AssignHotKeys();
   std::vector<uint32_t> unowned;
   for (uint32_t slot = 0; slot < mInput.slots.size(); ++slot) {
     if (mInput.slots[slot].owner == kNobody) {
       unowned.push_back(slot);
     }
   }
-  PlaceSlots(std::move(unowned));
+  AssignSlots(std::move(unowned));
 }
 
+/// Takes one move from the remaining number of moves.
+/// @return false if none is left.
 bool
-Balance::MayMove()
+PlanBuilder::ConsumeMove()
 {
   if (mMovesLeft == 0) {
     return false;
@@ -168,132 +180,149 @@
 }
 
 void
-Balance::EmptyDraining()
+PlanBuilder::MoveOffDraining()
 {
   const auto isDraining = [&](uint32_t aOwner) {
     return aOwner != kNobody &&
            mInput.upstreams[aOwner].condition == Condition::Draining;
   };
-  for (uint32_t at = 0; at < mInput.hotKeys.size(); ++at) {
-    const HotKey& key = mInput.hotKeys[at];
-    const std::optional<uint32_t> target = LeastUsed();
-    if (isDraining(key.owner) && target && MayMove()) {
-      mPlan.keys.push_back({ at, *target, Reason::OwnerDraining });
-      Change(*target, key.load);
+  for (uint32_t index = 0; index < mInput.hotKeys.size(); ++index) {
+    const HotKey& key = mInput.hotKeys[index];
+    const std::optional<uint32_t> target = LeastUtilized();
+    if (isDraining(key.owner) && target && ConsumeMove()) {
+      mPlan.keys.push_back({ index, *target, Reason::OwnerDraining });
+      AddLoad(*target, key.load);
     }
   }
   for (uint32_t slot = 0; slot < mInput.slots.size(); ++slot) {
-    const std::optional<uint32_t> target = LeastUsed();
-    if (isDraining(mInput.slots[slot].owner) && target && MayMove()) {
+    const std::optional<uint32_t> target = LeastUtilized();
+    if (isDraining(mInput.slots[slot].owner) && target && ConsumeMove()) {
       mPlan.slots.push_back({ slot, *target, Reason::OwnerDraining });
-      Change(*target, mInput.slots[slot].load);
+      AddLoad(*target, mInput.slots[slot].load);
     }
   }
 }
 
+/// Returns the total load of the upstreams that accept slots, divided by their
+/// total capacity.
 double
-Balance::MeanUse() const
+PlanBuilder::MeanUtilization() const
 {
   double load = 0;
   double capacity = 0;
-  for (const Work& work : mWork) {
-    load += work.takes ? work.load : 0;
-    capacity += work.takes ? work.capacity : 0;
+  for (const UpstreamLoad& upstream : mUpstreams) {
+    load += upstream.acceptsSlots ? upstream.load : 0;
+    capacity += upstream.acceptsSlots ? upstream.capacity : 0;
   }
-  return load / std::max(capacity, kRounding);
+  return load / std::max(capacity, kEpsilon);
 }
 
+/// Returns the amount by which the target's utilization after a move must be
+/// lower than the source's before it. It grows with the ratio of churn weight
+/// to imbalance weight.
 double
-Balance::LeastGain() const
+PlanBuilder::MinGain() const
 {
   const Wishes& wishes = mInput.wishes;
-  const double churn =
-    wishes.churnWeight / std::max(wishes.imbalanceWeight, kRounding);
-  const double excess = std::clamp(churn - 1, 0.0, kMostChurnWeight);
-  return MeanUse() * (excess * kGainPerChurnWeight + kRounding);
+  const double churnRatio =
+    wishes.churnWeight / std::max(wishes.imbalanceWeight, kEpsilon);
+  const double excessChurn = std::clamp(churnRatio - 1, 0.0, kMaxExcessChurn);
+  return MeanUtilization() * (excessChurn * kMinGainPerExcessChurn + kEpsilon);
 }
 
+/// Selects the slot to move from one upstream to another.
+/// @return its position in the source's slots, or none if its move would not
+/// keep the target's utilization more than aMinGain below the source's current
+/// one.
 std::optional<size_t>
-Balance::PickSlot(uint32_t aFrom, uint32_t aTo, double aGain) const
+PlanBuilder::PickSlot(uint32_t aFrom, uint32_t aTo, double aMinGain) const
 {
-  const Work& from = mWork[aFrom];
-  const Work& to = mWork[aTo];
-  const double even = (from.load * to.capacity - to.load * from.capacity) /
-                      std::max(from.capacity + to.capacity, kRounding);
-  const auto load = [&](size_t aAt) {
-    return mInput.slots[from.slots[aAt]].load;
+  const UpstreamLoad& from = mUpstreams[aFrom];
+  const UpstreamLoad& to = mUpstreams[aTo];
+  const double evenLoad = (from.load * to.capacity - to.load * from.capacity) /
+                          std::max(from.capacity + to.capacity, kEpsilon);
+  const auto load = [&](size_t aIndex) {
+    return mInput.slots[from.slots[aIndex]].load;
   };
-  // The heaviest that does not make the target the fuller one of the two; if
-  // all would, the lightest one that still gains.
+  // Moving evenLoad would make both utilizations equal. The heaviest slot up to
+  // evenLoad is selected, so that the target does not become the more utilized
+  // of the two; if every slot is heavier, the lightest one.
   std::optional<size_t> picked;
-  for (size_t at = 0; at < from.slots.size() && load(at) <= even; ++at) {
-    picked = at;
+  for (size_t index = 0; index < from.slots.size() && load(index) <= evenLoad;
+       ++index) {
+    picked = index;
   }
   if (!picked && !from.slots.empty()) {
     picked = 0;
   }
-  const bool gains = picked && UseWith(aTo, load(*picked)) + aGain < Use(aFrom);
-  return gains ? picked : std::nullopt;
+  const bool isWorthMoving =
+    picked &&
+    UtilizationWith(aTo, load(*picked)) + aMinGain < Utilization(aFrom);
+  return isWorthMoving ? picked : std::nullopt;
 }
 
+/// Returns the reason of a balancing move: Balance for a slot of average load,
+/// else Load.
 Reason
-Balance::ReasonFor(uint32_t aSlot) const
+PlanBuilder::BalancingReason(uint32_t aSlot) const
 {
   return mInput.slots[aSlot].load == 1 ? Reason::Balance : Reason::Load;
 }
 
+/// Moves one slot to the least utilized upstream.
+/// @return false if no move is left or none gains enough.
 bool
-Balance::MoveOne(uint32_t aFrom, double aGain)
+PlanBuilder::MoveOneSlot(uint32_t aFrom, double aMinGain)
 {
-  const std::optional<uint32_t> to = LeastUsed();
+  const std::optional<uint32_t> to = LeastUtilized();
   if (!to || *to == aFrom) {
     return false;
   }
-  const std::optional<size_t> picked = PickSlot(aFrom, *to, aGain);
-  if (!picked || !MayMove()) {
+  const std::optional<size_t> picked = PickSlot(aFrom, *to, aMinGain);
+  if (!picked || !ConsumeMove()) {
     return false;
   }
-  std::vector<uint32_t>& slots = mWork[aFrom].slots;
+  std::vector<uint32_t>& slots = mUpstreams[aFrom].slots;
   const uint32_t slot = slots[*picked];
   slots.erase(slots.begin() + static_cast<ptrdiff_t>(*picked));
-  mPlan.slots.push_back({ slot, *to, ReasonFor(slot) });
-  Change(aFrom, -mInput.slots[slot].load);
-  Change(*to, mInput.slots[slot].load);
+  mPlan.slots.push_back({ slot, *to, BalancingReason(slot) });
+  AddLoad(aFrom, -mInput.slots[slot].load);
+  AddLoad(*to, mInput.slots[slot].load);
   return true;
 }
 
 void
-Balance::Even()
+PlanBuilder::BalanceUtilization()
 {
-  const double gain = LeastGain();
-  const double mean = MeanUse();
-  mSources = mByUse;
+  const double minGain = MinGain();
+  const double meanUtilization = MeanUtilization();
+  mSources = mByUtilization;
   while (mMovesLeft > 0 && !mSources.empty()) {
-    const auto most = std::prev(mSources.end());
-    if (most->first <= mean) {
+    const auto mostUtilized = std::prev(mSources.end());
+    if (mostUtilized->first <= meanUtilization) {
       return;
     }
-    // An upstream whose slots are all too heavy to move stays as it is; the
-    // ones below it may still be evened.
-    if (!MoveOne(most->second, gain)) {
-      mSources.erase(most);
+    // No slot of this upstream is worth moving, for example because all are too
+    // heavy. Upstreams with lower utilization may still have one.
+    if (!MoveOneSlot(mostUtilized->second, minGain)) {
+      mSources.erase(mostUtilized);
     }
   }
 }
 
 void
-Balance::RelieveDrowning()
+PlanBuilder::RelieveOverloaded()
 {
-  const double gain = LeastGain();
-  for (uint32_t at = 0; at < mWork.size(); ++at) {
-    while (mInput.upstreams[at].drowning && mMovesLeft > 0 &&
-           MoveOne(at, gain)) {
+  const double minGain = MinGain();
+  for (uint32_t index = 0; index < mUpstreams.size(); ++index) {
+    while (mInput.upstreams[index].drowning && mMovesLeft > 0 &&
+           MoveOneSlot(index, minGain)) {
     }
   }
 }
 
 Plan
-Balance::TakePlan()
+PlanBuilder::TakePlan()
 {
   return std::move(mPlan);
 }
