--- a/src/librattandyke/gateway/control_host_log.cpp
+++ b/src/librattandyke/gateway/control_host_log.cpp
@@ -56,12 +56,12 @@
 ControlHost::Impl::OnLeadership(std::optional<uint64_t> aTerm)
 {
   if (aTerm) {
-    Info() << "this host is the leader of term " << *aTerm << " at index "
+    Info() << "this host leads term " << *aTerm << " at index "
            << state.AppliedIndex().value;
     rangeAssigner.OnElected(state, clock.Now());
     entryRegistry.OnElected(state, clock.Now());
   } else {
-    Info() << "this host is no longer the leader";
+    Info() << "this host leads no more";
   }
 }
 
