--- a/src/librattandyke/routing/chunked_vector.h
+++ b/src/librattandyke/routing/chunked_vector.h
@@ -1,4 +1,4 @@
-/// A vector of which versions share what did not change.
+/// Persistent vector: copies share their unchanged chunks (copy-on-write).
 #pragma once
 
 #include <algorithm>
@@ -8,11 +8,11 @@
 
 namespace rattandyke::routing {
 
-/// Value type: a copy shares its chunks, and an Editor copies only the chunks
-/// that it changes. Reading is thread-safe.
+/// Immutable vector stored in chunks. Copies share all chunks; an Editor copies
+/// only the chunks that it changes. Concurrent reads are thread-safe.
 ///
-/// @tparam ChunkSize elements in a chunk. A change costs one chunk and one
-/// pointer for each chunk; about the square root of the usual size is best.
+/// @tparam ChunkSize elements per chunk. An edit copies one pointer per chunk
+/// and each changed chunk, so the square root of the usual size is best.
 template<typename T, size_t ChunkSize>
 class ChunkedVector
 {
@@ -26,24 +26,24 @@
     return (*mChunks[aIndex / ChunkSize])[aIndex % ChunkSize];
   }
 
-  /// Changes a private copy; Finish gives the changed vector.
+  /// Builds a changed version of a vector. Finish returns the result.
   class Editor
   {
   public:
     explicit Editor(ChunkedVector aBase)
       : mVector(std::move(aBase))
-      , mOwned(mVector.mChunks.size(), nullptr)
+      , mPrivateChunks(mVector.mChunks.size(), nullptr)
     {
     }
 
     size_t Size() const { return mVector.mSize; }
     const T& operator[](size_t aIndex) const { return mVector[aIndex]; }
 
-    /// @return the element, in a chunk that nobody else sees. Valid until the
-    /// next call.
-    T& Change(size_t aIndex)
+    /// @return a mutable reference to the element, in a chunk that no other
+    /// vector shares. The reference is valid until the next call.
+    T& Mutable(size_t aIndex)
     {
-      return (*Own(aIndex / ChunkSize))[aIndex % ChunkSize];
+      return (*MutableChunk(aIndex / ChunkSize))[aIndex % ChunkSize];
     }
 
     void Append(T aValue)
@@ -51,11 +51,11 @@
       if (mVector.mSize % ChunkSize == 0) {
         AppendChunk();
       }
-      Own(mVector.mSize / ChunkSize)->push_back(std::move(aValue));
+      MutableChunk(mVector.mSize / ChunkSize)->push_back(std::move(aValue));
       ++mVector.mSize;
     }
 
-    /// Appends default elements until there are aSize.
+    /// Appends default-constructed elements until the size is at least aSize.
     void GrowTo(size_t aSize)
     {
       while (mVector.mSize < aSize) {
@@ -70,25 +70,25 @@
     {
       auto chunk = std::make_shared<Chunk>();
       chunk->reserve(ChunkSize);
-      mOwned.push_back(chunk.get());
+      mPrivateChunks.push_back(chunk.get());
       mVector.mChunks.push_back(std::move(chunk));
     }
 
-    Chunk* Own(size_t aChunk)
+    Chunk* MutableChunk(size_t aChunkIndex)
     {
-      if (mOwned[aChunk] == nullptr) {
+      if (mPrivateChunks[aChunkIndex] == nullptr) {
         auto copy = std::make_shared<Chunk>();
         copy->reserve(ChunkSize);
-        *copy = *mVector.mChunks[aChunk];
-        mOwned[aChunk] = copy.get();
-        mVector.mChunks[aChunk] = std::move(copy);
+        *copy = *mVector.mChunks[aChunkIndex];
+        mPrivateChunks[aChunkIndex] = copy.get();
+        mVector.mChunks[aChunkIndex] = std::move(copy);
       }
-      return mOwned[aChunk];
+      return mPrivateChunks[aChunkIndex];
     }
 
     ChunkedVector mVector;
-    /// The chunks that this editor made; null for shared ones.
-    std::vector<Chunk*> mOwned;
+    /// Chunks that this editor allocated, by chunk index; null if shared.
+    std::vector<Chunk*> mPrivateChunks;
   };
 
 private:
--- a/src/librattandyke/routing/hot_keys.cpp
+++ b/src/librattandyke/routing/hot_keys.cpp
@@ -8,13 +8,13 @@
 
 namespace {
 
-constexpr size_t kLongestKey = 256;
+constexpr size_t kMaxKeyBytes = 256;
 
 uint64_t
-HashOfBoth(std::string_view aService, std::string_view aKey)
+HashServiceAndKey(std::string_view aService, std::string_view aKey)
 {
   constexpr uint64_t kMix = 0x9e3779b97f4a7c15;
-  return HashOf(aService) * kMix ^ HashOf(aKey);
+  return HashKey(aService) * kMix ^ HashKey(aKey);
 }
 
 } // namespace
@@ -23,17 +23,17 @@
   : mCapacity(aCapacity)
 {
   mHeap.reserve(aCapacity);
-  mPlaces.reserve(aCapacity);
+  mHeapIndexes.reserve(aCapacity);
 }
 
 void
 HotKeys::Count(std::string_view aService, std::string_view aKey)
 {
-  if (aKey.size() > kLongestKey || mCapacity == 0) {
+  if (aKey.size() > kMaxKeyBytes || mCapacity == 0) {
     return;
   }
-  const uint64_t hash = HashOfBoth(aService, aKey);
-  if (const auto found = mPlaces.find(hash); found != mPlaces.end()) {
+  const uint64_t hash = HashServiceAndKey(aService, aKey);
+  if (const auto found = mHeapIndexes.find(hash); found != mHeapIndexes.end()) {
     ++mHeap[found->second].value.count;
     SiftDown(found->second);
     return;
@@ -41,13 +41,13 @@
   if (mHeap.size() < mCapacity) {
     mHeap.push_back(
       { { std::string(aService), std::string(aKey), 1, 0 }, hash });
-    mPlaces.emplace(hash, mHeap.size() - 1);
+    mHeapIndexes.emplace(hash, mHeap.size() - 1);
     SiftUp(mHeap.size() - 1);
     return;
   }
   Counter& smallest = mHeap.front();
-  mPlaces.erase(smallest.hash);
-  mPlaces.emplace(hash, 0);
+  mHeapIndexes.erase(smallest.hash);
+  mHeapIndexes.emplace(hash, 0);
   smallest.hash = hash;
   smallest.value.service = aService;
   smallest.value.key = aKey;
@@ -57,11 +57,11 @@
 }
 
 std::vector<KeyCount>
-HotKeys::Top(size_t aLimit, uint64_t aLeast) const
+HotKeys::Top(size_t aLimit, uint64_t aMinCount) const
 {
   std::vector<KeyCount> top;
   for (const Counter& counter : mHeap) {
-    if (counter.value.count - counter.value.error >= aLeast) {
+    if (counter.value.count - counter.value.error >= aMinCount) {
       top.push_back(counter.value);
     }
   }
@@ -78,39 +78,39 @@
 HotKeys::Reset()
 {
   mHeap.clear();
-  mPlaces.clear();
+  mHeapIndexes.clear();
 }
 
 void
-HotKeys::SiftUp(size_t aPlace)
+HotKeys::SiftUp(size_t aIndex)
 {
-  while (aPlace > 0) {
-    const size_t parent = (aPlace - 1) / 2;
-    if (mHeap[parent].value.count <= mHeap[aPlace].value.count) {
+  while (aIndex > 0) {
+    const size_t parent = (aIndex - 1) / 2;
+    if (mHeap[parent].value.count <= mHeap[aIndex].value.count) {
       return;
     }
-    Swap(parent, aPlace);
-    aPlace = parent;
+    Swap(parent, aIndex);
+    aIndex = parent;
   }
 }
 
 void
-HotKeys::SiftDown(size_t aPlace)
+HotKeys::SiftDown(size_t aIndex)
 {
   for (;;) {
-    size_t smallest = aPlace;
-    const size_t left = 2 * aPlace + 1;
+    size_t smallest = aIndex;
+    const size_t left = 2 * aIndex + 1;
     for (const size_t child : { left, left + 1 }) {
       if (child < mHeap.size() &&
           mHeap[child].value.count < mHeap[smallest].value.count) {
         smallest = child;
       }
     }
-    if (smallest == aPlace) {
+    if (smallest == aIndex) {
       return;
     }
-    Swap(smallest, aPlace);
-    aPlace = smallest;
+    Swap(smallest, aIndex);
+    aIndex = smallest;
   }
 }
 
@@ -118,8 +118,8 @@
 HotKeys::Swap(size_t aOne, size_t aOther)
 {
   std::swap(mHeap[aOne], mHeap[aOther]);
-  mPlaces[mHeap[aOne].hash] = aOne;
-  mPlaces[mHeap[aOther].hash] = aOther;
+  mHeapIndexes[mHeap[aOne].hash] = aOne;
+  mHeapIndexes[mHeap[aOther].hash] = aOther;
 }
 
 } // namespace rattandyke::routing
--- a/src/librattandyke/routing/hot_keys.h
+++ b/src/librattandyke/routing/hot_keys.h
@@ -1,4 +1,4 @@
-/// Finds the keys that get the most requests, in bounded memory.
+/// Sketch of the most frequently requested keys, in bounded memory.
 #pragma once
 
 #include <cstdint>
@@ -9,34 +9,35 @@
 
 namespace rattandyke::routing {
 
-/// A key with the estimate of its requests.
+/// A key with the estimated number of its requests.
 struct KeyCount
 {
   std::string service;
   std::string key;
-  /// At least the true count, and above it by at most error.
+  /// Estimate: at least the true count, and at most the true count plus error.
   uint64_t count = 0;
+  /// Largest possible overestimate in count.
   uint64_t error = 0;
 };
 
-/// Space-saving sketch: keeps a fixed number of counters; a key without one
-/// takes over the smallest. Every key with more than total/capacity requests is
-/// among the counters. Not thread-safe.
+/// Space-Saving sketch with a fixed number of counters. A key without a counter
+/// replaces the key with the smallest count. Every key with more than
+/// total/capacity requests has a counter. Not thread-safe.
 class HotKeys
 {
 public:
-  /// @param aCapacity counters kept; memory is proportional to it.
+  /// @param aCapacity number of counters; memory use is proportional to it.
   explicit HotKeys(size_t aCapacity);
 
-  /// Counts one request; logarithmic in the capacity. Keys over 256 bytes are
-  /// not followed.
+  /// Counts one request in O(log capacity) time. Ignores keys longer than
+  /// 256 bytes.
   void Count(std::string_view aService, std::string_view aKey);
 
-  /// @return at most aLimit keys whose count without its error is at least
-  /// aLeast, largest first.
-  std::vector<KeyCount> Top(size_t aLimit, uint64_t aLeast) const;
+  /// @return at most aLimit keys whose count minus error is at least aMinCount,
+  /// in descending order of count.
+  std::vector<KeyCount> Top(size_t aLimit, uint64_t aMinCount) const;
 
-  /// Begins a new interval.
+  /// Removes all counters, to start a new measuring interval.
   void Reset();
 
   size_t Size() const { return mHeap.size(); }
@@ -48,16 +49,16 @@
     uint64_t hash = 0;
   };
 
-  void SiftUp(size_t aPlace);
-  void SiftDown(size_t aPlace);
+  void SiftUp(size_t aIndex);
+  void SiftDown(size_t aIndex);
   void Swap(size_t aOne, size_t aOther);
 
   size_t mCapacity;
-  /// A heap with the smallest count in front.
+  /// Min-heap by count.
   std::vector<Counter> mHeap;
-  /// Places in the heap by hash of service and key. Two keys of one hash share
-  /// a counter, which makes the estimate too high, never too low.
-  std::unordered_map<uint64_t, size_t> mPlaces;
+  /// Index in mHeap by hash of service and key. Keys with equal hashes share a
+  /// counter, so the estimate may be too high but never too low.
+  std::unordered_map<uint64_t, size_t> mHeapIndexes;
 };
 
 } // namespace rattandyke::routing
--- a/src/librattandyke/routing/routing_table.cpp
+++ b/src/librattandyke/routing/routing_table.cpp
@@ -11,7 +11,7 @@
 
 using ServicePointer = std::shared_ptr<const ServiceTable>;
 
-/// @return the path's first segment with its slash: "/board" of "/board/7".
+/// @return the first path segment with its slash: "/board" for "/board/7".
 std::string_view
 FirstSegment(std::string_view aPath)
 {
@@ -19,7 +19,7 @@
   return aPath.substr(0, end);
 }
 
-/// A limit's record is named "SERVICE/CUSTOMER".
+/// Parsed name of a limit record, "SERVICE/CUSTOMER".
 struct LimitName
 {
   ServiceName service;
@@ -41,9 +41,9 @@
 struct RoutingTable::Impl
 {
   TableVersion version;
-  /// In order of name.
+  /// Sorted by name.
   std::vector<ServicePointer> services;
-  /// Those with a record, in order of prefix.
+  /// Services that have a record, sorted by prefix.
   std::vector<const ServiceTable*> byPrefix;
 
   const ServiceTable* Find(std::string_view aService) const
@@ -74,16 +74,16 @@
 
 namespace {
 
-/// Collects the changes of one update, service by service.
+/// Applies one update: holds a ServiceEditor for each changed service.
 class TableEditor
 {
 public:
   using Find = std::function<const ServiceTable*(const std::string&)>;
 
-  /// @param aFind     gives a service as it was before, or null.
-  /// @param aComplete the update replaces everything.
-  TableEditor(Find aFind, bool aComplete)
-    : mFind(std::move(aFind))
+  /// @param aFindPrevious returns the previous version of a service, or null.
+  /// @param aComplete     the update replaces the whole table.
+  TableEditor(Find aFindPrevious, bool aComplete)
+    : mFindPrevious(std::move(aFindPrevious))
     , mComplete(aComplete)
   {
   }
@@ -97,14 +97,14 @@
     }
   }
 
-  ServiceEditor& Of(const std::string& aService)
+  ServiceEditor& EditorFor(const std::string& aService)
   {
     auto found = mEditors.find(aService);
     if (found == mEditors.end()) {
-      const ServiceTable* base = mComplete ? nullptr : mFind(aService);
-      const ServiceTable fresh({ aService });
+      const ServiceTable* base = mComplete ? nullptr : mFindPrevious(aService);
+      const ServiceTable empty({ aService });
       found =
-        mEditors.emplace(aService, ServiceEditor(base ? *base : fresh)).first;
+        mEditors.emplace(aService, ServiceEditor(base ? *base : empty)).first;
     }
     return found->second;
   }
@@ -115,17 +115,17 @@
   void SetService(const wire::Record& aRecord)
   {
     if (aRecord.deleted()) {
-      Of(aRecord.name()).SetRecord(nullptr);
+      EditorFor(aRecord.name()).SetRecord(nullptr);
       return;
     }
-    // A form that is newer than this version of the product has no effect:
-    // the newest form that is understood stays in force.
+    // A record with a newer schema than this version supports has no effect;
+    // the newest supported record stays in force.
     if (auto parsed = records::ParseService(aRecord)) {
-      Of(aRecord.name())
+      EditorFor(aRecord.name())
         .SetRecord(
           std::make_shared<const records::ServiceRecord>(std::move(*parsed)));
-    } else if (const ServiceTable* before = mFind(aRecord.name())) {
-      Of(aRecord.name()).SetRecord(before->record);
+    } else if (const ServiceTable* previous = mFindPrevious(aRecord.name())) {
+      EditorFor(aRecord.name()).SetRecord(previous->record);
     }
   }
 
@@ -136,56 +136,57 @@
       return;
     }
     if (aRecord.deleted()) {
-      Of(name->service.value).RemoveLimit(name->customer);
+      EditorFor(name->service.value).RemoveLimit(name->customer);
     } else if (auto parsed = records::ParseLimit(aRecord)) {
-      Of(name->service.value).SetLimit(std::move(*parsed));
-    } else if (const ServiceTable* before = mFind(name->service.value)) {
-      KeepLimit(*before, *name);
+      EditorFor(name->service.value).SetLimit(std::move(*parsed));
+    } else if (const ServiceTable* previous =
+                 mFindPrevious(name->service.value)) {
+      RetainLimit(*previous, *name);
     }
   }
 
-  void KeepLimit(const ServiceTable& aBefore, const LimitName& aName)
+  void RetainLimit(const ServiceTable& aPrevious, const LimitName& aName)
   {
-    if (const auto* limit = aBefore.FindLimit(aName.customer.value)) {
-      Of(aName.service.value).SetLimit(*limit);
+    if (const auto* limit = aPrevious.FindLimit(aName.customer.value)) {
+      EditorFor(aName.service.value).SetLimit(*limit);
     }
   }
 
-  Find mFind;
+  Find mFindPrevious;
   bool mComplete;
   std::map<std::string, ServiceEditor> mEditors;
 };
 
 void
-EditAll(TableEditor& aEditor, const wire::TableUpdate& aUpdate)
+ApplyUpdate(TableEditor& aEditor, const wire::TableUpdate& aUpdate)
 {
   for (const wire::Record& record : aUpdate.records()) {
     aEditor.SetRecord(record);
   }
   for (const wire::Upstream& upstream : aUpdate.upstreams()) {
-    aEditor.Of(upstream.service()).SetUpstream(upstream);
+    aEditor.EditorFor(upstream.service()).SetUpstream(upstream);
   }
   for (const wire::SlotOwner& owner : aUpdate.owners()) {
-    aEditor.Of(owner.service()).SetOwner(owner);
+    aEditor.EditorFor(owner.service()).SetOwner(owner);
   }
   for (const wire::Ban& ban : aUpdate.bans()) {
-    aEditor.Of(ban.service()).SetBan(ban);
+    aEditor.EditorFor(ban.service()).SetBan(ban);
   }
 }
 
 void
-CollectTouched(TableEditor& aEditor, TouchedUpstreams& aTouched)
+CollectChangedGrants(TableEditor& aEditor, ChangedGrants& aChanged)
 {
   for (auto& [service, editor] : aEditor.Editors()) {
-    for (const UpstreamIndex index : editor.Touched()) {
-      aTouched.some.insert({ { service }, editor.NameOf(index) });
+    for (const UpstreamIndex index : editor.UpstreamsWithChangedGrants()) {
+      aChanged.upstreams.insert({ { service }, editor.NameOf(index) });
     }
   }
 }
 
-/// @return aBase with the edited services put in their places.
+/// @return aBase with the edited services replaced or inserted by name.
 std::vector<ServicePointer>
-Merge(std::vector<ServicePointer> aBase, TableEditor& aEditor)
+MergeEdited(std::vector<ServicePointer> aBase, TableEditor& aEditor)
 {
   for (auto& edit : aEditor.Editors()) {
     const std::string& service = edit.first;
@@ -219,15 +220,15 @@
 
 std::shared_ptr<const RoutingTable>
 RoutingTable::Apply(const wire::TableUpdate& aUpdate,
-                    TouchedUpstreams* aTouched) const
+                    ChangedGrants* aChanged) const
 {
   const TableVersion from{ aUpdate.from_version() };
   const TableVersion to{ aUpdate.to_version() };
   const bool isComplete = from.value == 0;
-  // Messages are repeated and reordered: an update may be older than the table,
-  // and applying it would bring back owners and records that were replaced.
-  // Updates hold final states, so one that begins earlier but ends later may be
-  // applied; one that begins later would leave a gap.
+  // Messages may be repeated or reordered. Applying an update that is older
+  // than the table would restore replaced owners and records. An update holds
+  // final states, so it may start before this version if it ends after it. An
+  // update that starts after this version would leave a gap.
   if (to < Version() || (!isComplete && from > Version())) {
     return nullptr;
   }
@@ -238,15 +239,15 @@
   TableEditor editor(
     [&](const std::string& aService) { return mImpl->Find(aService); },
     isComplete);
-  EditAll(editor, aUpdate);
-  if (aTouched != nullptr) {
-    aTouched->all = aTouched->all || isComplete;
-    CollectTouched(editor, *aTouched);
+  ApplyUpdate(editor, aUpdate);
+  if (aChanged != nullptr) {
+    aChanged->all = aChanged->all || isComplete;
+    CollectChangedGrants(editor, *aChanged);
   }
   auto impl = std::make_shared<Impl>();
   impl->version = to;
-  impl->services =
-    Merge(isComplete ? std::vector<ServicePointer>{} : mImpl->services, editor);
+  impl->services = MergeEdited(
+    isComplete ? std::vector<ServicePointer>{} : mImpl->services, editor);
   impl->IndexPrefixes();
   return std::shared_ptr<const RoutingTable>(new RoutingTable(std::move(impl)));
 }
@@ -258,7 +259,7 @@
 }
 
 const records::ServiceRecord*
-RoutingTable::FindService(std::string_view aPath) const
+RoutingTable::FindServiceByPath(std::string_view aPath) const
 {
   const std::string_view prefix = FirstSegment(aPath);
   const auto& services = mImpl->byPrefix;
@@ -272,7 +273,7 @@
 }
 
 const records::ServiceRecord*
-RoutingTable::ServiceNamed(std::string_view aName) const
+RoutingTable::FindServiceByName(std::string_view aName) const
 {
   const ServiceTable* service = mImpl->Find(aName);
   return service != nullptr ? service->record.get() : nullptr;
--- a/src/librattandyke/routing/routing_table.h
+++ b/src/librattandyke/routing/routing_table.h
@@ -1,4 +1,4 @@
-/// The table by which a host finds the owner of a key.
+/// Routing table: maps each key of a service to the upstream that owns it.
 #pragma once
 
 #include <memory>
@@ -11,11 +11,11 @@
 
 namespace rattandyke::routing {
 
-/// @return the slot of a key in a service of aSlots slots: the high part of
-/// its 64-bit xxHash, so that neighbouring keys spread.
+/// @return the slot of a key in a service of aSlots slots, from the high bits
+/// of the key's 64-bit xxHash, so that similar keys spread over the slots.
 Slot SlotOf(std::string_view aKey, uint32_t aSlots);
 
-/// Everything about an upstream that a request needs.
+/// Registration data of an upstream, as needed to route requests to it.
 struct UpstreamView
 {
   UpstreamName name;
@@ -26,24 +26,24 @@
   uint32_t slots = 1;
   bool checksFences = false;
   wire::UpstreamState state = wire::UPSTREAM_STATE_ACTIVE;
-  /// Host that keeps its lease.
+  /// Host that manages the lease of this upstream.
   HostName home;
-  /// Rises each time it is registered anew after its lease was over.
+  /// Increases each time the upstream registers again after lease expiry.
   TableVersion registered;
   WallTime started{};
 };
 
-/// Answer of a lookup. Pointers live as long as the table they came from.
+/// Result of an owner lookup. The pointer is valid as long as the table.
 struct Owner
 {
   const UpstreamView* upstream = nullptr;
   Fence fence;
   Slot slot;
-  /// The key has an owner of its own, beside its slot.
+  /// True if the key is a hot key, assigned separately from its slot.
   bool hotKey = false;
 };
 
-/// An upstream by the two names that make it unique in a deployment.
+/// Unique identifier of an upstream in a deployment.
 struct UpstreamId
 {
   ServiceName service;
@@ -51,47 +51,50 @@
   auto operator<=>(const UpstreamId&) const = default; // NOLINT(*-nullptr)
 };
 
-/// Whose grants an update changed, so that nobody has to compare whole tables.
-struct TouchedUpstreams
+/// Upstreams whose grants a table update changed.
+struct ChangedGrants
 {
-  /// A complete table came: anyone's may have changed.
+  /// The update was a complete table, so all grants may have changed.
   bool all = false;
-  std::set<UpstreamId> some;
+  std::set<UpstreamId> upstreams;
 };
 
-/// An immutable table at one version. Shared between threads by
-/// std::shared_ptr<const RoutingTable>; every method is thread-safe and does
-/// not allocate.
+/// Immutable routing table at one version. Threads share it through
+/// std::shared_ptr<const RoutingTable>. All methods are thread-safe, and the
+/// lookups (Find...) do not allocate.
 class RoutingTable
 {
 public:
   RoutingTable();
   ~RoutingTable();
 
-  /// @param aUpdate a complete table, or the changes after this version.
-  /// @return the newer table, or null if aUpdate does not follow on this
-  /// version or is older: a table never goes back. Costs memory and time by
-  /// what changed, not by the size of the table.
-  /// @param aTouched if not null, whose grants changed is added to it.
+  /// Builds a newer table. It shares unchanged data with this one, so time and
+  /// memory depend on the size of the change, not of the table.
+  /// @param aUpdate complete table, or the changes since an earlier version.
+  /// @param aChanged if not null, receives the upstreams with changed grants.
+  /// @return the table at the version where aUpdate ends; null if that version
+  /// is older than this one, or if aUpdate starts after this version.
   std::shared_ptr<const RoutingTable> Apply(
     const wire::TableUpdate& aUpdate,
-    TouchedUpstreams* aTouched = nullptr) const;
+    ChangedGrants* aChanged = nullptr) const;
 
   TableVersion Version() const;
 
   /// @param aPath request path, without the query.
-  /// @return the service whose prefix is the path's first segment, or null.
-  const records::ServiceRecord* FindService(std::string_view aPath) const;
-  const records::ServiceRecord* ServiceNamed(std::string_view aName) const;
+  /// @return the service whose prefix equals the first path segment, or null.
+  const records::ServiceRecord* FindServiceByPath(std::string_view aPath) const;
+  /// @return the service named aName, or null.
+  const records::ServiceRecord* FindServiceByName(std::string_view aName) const;
 
-  /// @return the owner; its upstream is null if nobody may be sent the key.
+  /// @return the owner; upstream is null if no upstream may receive the key.
   Owner FindOwner(const records::ServiceRecord& aService,
                   std::string_view aKey) const;
 
+  /// @return the upstream, or null if no update has described it.
   const UpstreamView* FindUpstream(std::string_view aService,
                                    std::string_view aName) const;
 
-  /// Limit of a customer, or null if no record sets one.
+  /// @return the limit of a customer, or null if no record sets one.
   const records::LimitRecord* FindLimit(std::string_view aService,
                                         std::string_view aCustomer) const;
 
@@ -100,18 +103,18 @@
                            std::string_view aFingerprint,
                            WallTime aNow) const;
 
-  /// Slots and hot keys that an upstream owns now, for its grants. A hot key
-  /// that lies in one of its slots but is not its own is listed with fence 0.
+  /// @return the slots and hot keys that an upstream owns. A hot key in one of
+  /// its slots that another upstream owns is listed with fence 0.
   std::vector<wire::SlotOwner> GrantsOf(std::string_view aService,
                                         std::string_view aUpstream) const;
 
-  /// @return GrantsOf for each of several upstreams, in their order, at the
-  /// cost of one.
+  /// @return the grants of each upstream, in the order of aUpstreams. Scans
+  /// the slots only once.
   std::vector<std::vector<wire::SlotOwner>> GrantsOf(
     std::string_view aService,
     const std::vector<UpstreamName>& aUpstreams) const;
 
-  /// For listings: all parts, sorted by name.
+  /// All services by name; all upstreams by service, then name.
   std::vector<const records::ServiceRecord*> Services() const;
   std::vector<const UpstreamView*> Upstreams() const;
 
--- a/src/librattandyke/routing/routing_table_test.cpp
+++ b/src/librattandyke/routing/routing_table_test.cpp
@@ -83,7 +83,7 @@
 std::string
 OwnerName(const RoutingTable& aTable, std::string_view aKey)
 {
-  const auto* service = aTable.ServiceNamed("board");
+  const auto* service = aTable.FindServiceByName("board");
   const Owner owner = aTable.FindOwner(*service, aKey);
   return owner.upstream != nullptr ? owner.upstream->name.value : "";
 }
@@ -91,23 +91,24 @@
 TEST(RoutingTable, FindsServiceByFirstSegment)
 {
   const auto table = BaseTable();
-  EXPECT_NE(table->FindService("/board/7/hire"), nullptr);
-  EXPECT_NE(table->FindService("/board"), nullptr);
-  EXPECT_EQ(table->FindService("/boards/7"), nullptr);
-  EXPECT_EQ(table->FindService("/"), nullptr);
-  EXPECT_EQ(table->FindService(""), nullptr);
+  EXPECT_NE(table->FindServiceByPath("/board/7/hire"), nullptr);
+  EXPECT_NE(table->FindServiceByPath("/board"), nullptr);
+  EXPECT_EQ(table->FindServiceByPath("/boards/7"), nullptr);
+  EXPECT_EQ(table->FindServiceByPath("/"), nullptr);
+  EXPECT_EQ(table->FindServiceByPath(""), nullptr);
 }
 
 TEST(RoutingTable, SlotIsHighPartOfHash)
 {
-  // Upstreams in other languages compute the same; XXH64("") is fixed.
+  // Upstreams in other languages compute the same slots, so the hash of a key
+  // must not change. The expected values are the high bits of XXH64("").
   EXPECT_EQ(SlotOf("", 256), Slot{ 0xef });
   EXPECT_EQ(SlotOf("", 16), Slot{ 0xe });
 }
 
-// A host was told of version 12 and then gets a repeated or delayed message
-// about versions 10 to 11. Applying it would bring back an owner that was
-// replaced, and requests would run at two places.
+// Failure: a host at version 12 receives a repeated or delayed update from
+// version 10 to 11. Applying it would restore a replaced owner, and requests
+// for one key would run on two upstreams.
 TEST(RoutingTable, NeverGoesBack)
 {
   const auto base = BaseTable();
@@ -119,15 +120,16 @@
   EXPECT_FALSE(newer->Apply(UpdateOf(0, 11)));
 }
 
-// A message is lost, and the next one begins after it. Without the lost
-// changes the table would name owners that were revoked in between.
-TEST(RoutingTable, RefusesUpdateAfterGap)
+// Failure: an update is lost, and the next one starts after it. Without the
+// lost changes the table would contain owners whose grants were revoked.
+TEST(RoutingTable, RejectsUpdateAfterGap)
 {
   EXPECT_FALSE(BaseTable()->Apply(UpdateOf(11, 12)));
 }
 
-// The leader answers a heartbeat that named an older version than the host has
-// by now. The update begins earlier but ends later, and holds final states.
+// The leader answers a heartbeat with an older table version than the host has
+// now. The update starts before that version, ends after it, and holds final
+// states.
 TEST(RoutingTable, AppliesOverlappingUpdate)
 {
   wire::TableUpdate update = UpdateOf(4, 15);
@@ -137,8 +139,9 @@
   EXPECT_EQ(table->Version(), TableVersion{ 15 });
 }
 
-// Between release and grant of a move nobody owns the slot. A request then has
-// to wait or be refused; the last owner may still be finishing old work.
+// While a slot moves, it has no owner between its release and the next grant.
+// Requests must wait or be refused, as the previous owner may still be running
+// earlier requests.
 TEST(RoutingTable, ReleasedSlotHasNoOwner)
 {
   wire::TableUpdate update = UpdateOf(10, 11);
@@ -149,8 +152,9 @@
   EXPECT_EQ(OwnerName(*table, "any"), "");
 }
 
-// An upstream's lease is over but its slots are not yet released. It may be
-// frozen; when it returns it must not find new requests waiting.
+// Failure: an upstream's lease has expired, but its slots are not released yet.
+// The process may be suspended. When it resumes, no new requests may be waiting
+// for it.
 TEST(RoutingTable, LostUpstreamIsNotAnOwner)
 {
   wire::TableUpdate update = UpdateOf(10, 11);
@@ -158,36 +162,36 @@
   EXPECT_EQ(OwnerName(*BaseTable()->Apply(update), "any"), "");
 }
 
-TEST(RoutingTable, DrainingUpstreamServesUntilItsSlotsMove)
+TEST(RoutingTable, DrainingUpstreamOwnsItsSlotsUntilTheyMove)
 {
   wire::TableUpdate update = UpdateOf(10, 11);
   *update.add_upstreams() = UpstreamOf("one", wire::UPSTREAM_STATE_DRAINING);
   EXPECT_EQ(OwnerName(*BaseTable()->Apply(update), "any"), "one");
 }
 
-// A hot key moves away from "one", which keeps the slot and the slot's fence.
-// A host with an older table still sends the key to "one" under that fence, so
-// "one" has to be told that this key is not its own any more.
-TEST(RoutingTable, HotKeyIsTakenOutOfItsSlotsGrant)
+// A hot key moves away from "one", which keeps the slot and the slot's fence. A
+// host with an older table still sends the key to "one" with that fence, so the
+// grants of "one" list the key with fence 0.
+TEST(RoutingTable, MovedHotKeyIsExcludedFromSlotGrant)
 {
   wire::TableUpdate update = UpdateOf(10, 11);
   *update.add_owners() = KeyOwnerOf("hot", "two", 11);
-  TouchedUpstreams touched;
-  const auto table = BaseTable()->Apply(update, &touched);
+  ChangedGrants changed;
+  const auto table = BaseTable()->Apply(update, &changed);
   EXPECT_EQ(OwnerName(*table, "hot"), "two");
-  EXPECT_EQ(touched.some.size(), 2U);
+  EXPECT_EQ(changed.upstreams.size(), 2U);
 
-  const auto ofTwo = table->GrantsOf("board", "two");
-  ASSERT_EQ(ofTwo.size(), 1U);
-  EXPECT_EQ(ofTwo[0].key(), "hot");
-  EXPECT_EQ(ofTwo[0].fence(), 11U);
-  const auto ofOne = table->GrantsOf("board", "one");
-  ASSERT_EQ(ofOne.size(), kSlots + 1);
-  EXPECT_EQ(ofOne.back().key(), "hot");
-  EXPECT_EQ(ofOne.back().fence(), 0U);
+  const auto grantsOfTwo = table->GrantsOf("board", "two");
+  ASSERT_EQ(grantsOfTwo.size(), 1U);
+  EXPECT_EQ(grantsOfTwo[0].key(), "hot");
+  EXPECT_EQ(grantsOfTwo[0].fence(), 11U);
+  const auto grantsOfOne = table->GrantsOf("board", "one");
+  ASSERT_EQ(grantsOfOne.size(), kSlots + 1);
+  EXPECT_EQ(grantsOfOne.back().key(), "hot");
+  EXPECT_EQ(grantsOfOne.back().fence(), 0U);
 }
 
-TEST(RoutingTable, RemovedHotKeyFallsBackToItsSlot)
+TEST(RoutingTable, RemovedHotKeyIsOwnedBySlotOwner)
 {
   wire::TableUpdate update = UpdateOf(10, 11);
   *update.add_owners() = KeyOwnerOf("hot", "two", 11);
@@ -200,16 +204,16 @@
   EXPECT_EQ(table->GrantsOf("board", "one").size(), kSlots);
 }
 
-// A newer host's operator submits a service record in a form that this version
-// does not know. Half applying it, or dropping the service, would fail callers;
-// the newest form that is understood stays in force.
-TEST(RoutingTable, UnknownNewerFormHasNoEffect)
+// Failure: an operator of a newer host submits a service record with a schema
+// that this version does not support. Applying it in part, or dropping the
+// service, would fail callers. The newest supported record stays in force.
+TEST(RoutingTable, UnsupportedRecordSchemaHasNoEffect)
 {
   for (const uint64_t from : { 10, 0 }) {
     wire::TableUpdate update = UpdateOf(from, 11);
     *update.add_records() = ServiceRecordOf("board", 99);
     const auto table = BaseTable()->Apply(update);
-    EXPECT_NE(table->FindService("/board/7"), nullptr) << from;
+    EXPECT_NE(table->FindServiceByPath("/board/7"), nullptr) << from;
   }
 }
 
@@ -218,10 +222,10 @@
   wire::TableUpdate update = UpdateOf(10, 11);
   *update.add_records() = ServiceRecordOf("board");
   update.mutable_records(0)->set_deleted(true);
-  EXPECT_EQ(BaseTable()->Apply(update)->FindService("/board/7"), nullptr);
+  EXPECT_EQ(BaseTable()->Apply(update)->FindServiceByPath("/board/7"), nullptr);
 }
 
-TEST(RoutingTable, BanEndsByTimeOrLifting)
+TEST(RoutingTable, BanEndsOnExpiryOrLift)
 {
   wire::TableUpdate update = UpdateOf(10, 11);
   wire::Ban* ban = update.add_bans();
@@ -255,15 +259,15 @@
                  rc::gen::element<std::string>("", "one", "two", "three")));
 }
 
-// Tables share chunks between versions. A change that leaked into an older
-// version would give two hosts at the same version different owners.
-RC_GTEST_PROP(RoutingTableProperty, DeltasGiveTheCompleteTable, ())
+// Table versions share chunks. If a change also altered an older version, two
+// hosts at the same version would have different owners for a slot.
+RC_GTEST_PROP(RoutingTableProperty, UpdatesMatchModelAndKeepOlderVersions, ())
 {
   const auto changes = *rc::gen::container<std::vector<Change>>(AnyChange());
   std::map<uint32_t, wire::SlotOwner> model;
   auto table = BaseTable();
   std::vector<std::shared_ptr<const RoutingTable>> versions{ table };
-  std::vector<size_t> owned{ kSlots };
+  std::vector<size_t> grantCounts{ kSlots };
   uint64_t version = 10;
   for (const Change& change : changes) {
     wire::TableUpdate update = UpdateOf(version, version + 1);
@@ -272,10 +276,10 @@
     model[change.slot] = update.owners(0);
     table = table->Apply(update);
     versions.push_back(table);
-    owned.push_back(table->GrantsOf("board", "one").size());
+    grantCounts.push_back(table->GrantsOf("board", "one").size());
   }
   for (size_t i = 0; i < versions.size(); ++i) {
-    RC_ASSERT(versions[i]->GrantsOf("board", "one").size() == owned[i]);
+    RC_ASSERT(versions[i]->GrantsOf("board", "one").size() == grantCounts[i]);
   }
   for (const char* name : { "one", "two", "three" }) {
     std::map<uint32_t, uint64_t> expected;
--- a/src/librattandyke/routing/service_table.cpp
+++ b/src/librattandyke/routing/service_table.cpp
@@ -20,20 +20,20 @@
   return sEmpty;
 }
 
-/// @return a vector of exactly the size that it needs.
+/// @return a shared vector of aValues without spare capacity.
 template<typename T>
 std::shared_ptr<const std::vector<T>>
-Share(std::vector<T> aValues)
+MakeShared(std::vector<T> aValues)
 {
   aValues.shrink_to_fit();
   return std::make_shared<const std::vector<T>>(std::move(aValues));
 }
 
-/// @return the private copy, made from aShared on the first call.
+/// @return the mutable copy, copied from aShared on the first call.
 template<typename T>
 std::vector<T>&
-CopyOnce(std::optional<std::vector<T>>& aCopy,
-         const std::shared_ptr<const std::vector<T>>& aShared)
+MutableCopy(std::optional<std::vector<T>>& aCopy,
+            const std::shared_ptr<const std::vector<T>>& aShared)
 {
   if (!aCopy) {
     aCopy = *aShared;
@@ -47,7 +47,7 @@
   return aEntry.hash != aHash ? aEntry.hash < aHash : aEntry.key < aKey;
 }
 
-/// @return the first entry that is not before the key.
+/// @return the first entry that does not sort before (aHash, aKey).
 template<typename Iterator>
 Iterator
 LowerBound(Iterator aFirst,
@@ -61,14 +61,14 @@
 }
 
 bool
-IsKey(const HotKey& aEntry, uint64_t aHash, std::string_view aKey)
+Matches(const HotKey& aEntry, uint64_t aHash, std::string_view aKey)
 {
   return aEntry.hash == aHash && aEntry.key == aKey;
 }
 
 template<typename Iterator>
 Iterator
-LowerBoundOfCustomer(Iterator aFirst,
+LowerBoundByCustomer(Iterator aFirst,
                      Iterator aLast,
                      std::string_view aCustomer)
 {
@@ -80,7 +80,7 @@
 
 template<typename Iterator>
 Iterator
-LowerBoundOfFingerprint(Iterator aFirst,
+LowerBoundByFingerprint(Iterator aFirst,
                         Iterator aLast,
                         std::string_view aFingerprint)
 {
@@ -90,7 +90,7 @@
 }
 
 UpstreamView
-ViewOf(const wire::Upstream& aUpstream)
+MakeUpstreamView(const wire::Upstream& aUpstream)
 {
   UpstreamView view;
   view.name = { aUpstream.name() };
@@ -108,17 +108,19 @@
 }
 
 wire::SlotOwner
-SlotGrant(const ServiceName& aService, size_t aSlot, const SlotEntry& aEntry)
+MakeSlotGrant(const ServiceName& aService,
+              size_t aSlot,
+              const SlotEntry& aEntry)
 {
   wire::SlotOwner grant;
   grant.set_service(aService.value);
   grant.set_slot(static_cast<uint32_t>(aSlot));
-  grant.set_fence(aEntry.OwnFence().value);
+  grant.set_fence(aEntry.OwnerFence().value);
   return grant;
 }
 
 wire::SlotOwner
-KeyGrantOf(const ServiceName& aService, const HotKey& aEntry, Fence aFence)
+MakeKeyGrant(const ServiceName& aService, const HotKey& aEntry, Fence aFence)
 {
   wire::SlotOwner grant;
   grant.set_service(aService.value);
@@ -130,13 +132,13 @@
 } // namespace
 
 uint64_t
-HashOf(std::string_view aKey)
+HashKey(std::string_view aKey)
 {
   return XXH64(aKey.data(), aKey.size(), 0);
 }
 
 uint64_t
-Mixed(uint64_t aNumber)
+MixBits(uint64_t aNumber)
 {
   aNumber = (aNumber ^ (aNumber >> 30U)) * 0xbf58476d1ce4e5b9ULL;
   aNumber = (aNumber ^ (aNumber >> 27U)) * 0x94d049bb133111ebULL;
@@ -153,7 +155,7 @@
 Slot
 SlotOf(std::string_view aKey, uint32_t aSlots)
 {
-  return SlotOfHash(HashOf(aKey), aSlots);
+  return SlotOfHash(HashKey(aKey), aSlots);
 }
 
 ServiceTable::ServiceTable(ServiceName aName)
@@ -182,38 +184,38 @@
 ServiceTable::FindHotKey(uint64_t aHash, std::string_view aKey) const
 {
   const auto found = LowerBound(hotKeys->begin(), hotKeys->end(), aHash, aKey);
-  return found != hotKeys->end() && IsKey(*found, aHash, aKey) ? &*found
-                                                               : nullptr;
+  return found != hotKeys->end() && Matches(*found, aHash, aKey) ? &*found
+                                                                 : nullptr;
 }
 
 const UpstreamView*
-ServiceTable::Reachable(UpstreamIndex aIndex) const
+ServiceTable::FindRoutable(UpstreamIndex aIndex) const
 {
   if (aIndex == kNoUpstream) {
     return nullptr;
   }
   const UpstreamView& view = upstreams[aIndex];
-  const bool takesWork = view.state == wire::UPSTREAM_STATE_ACTIVE ||
-                         view.state == wire::UPSTREAM_STATE_DRAINING;
-  return takesWork ? &view : nullptr;
+  const bool isRoutable = view.state == wire::UPSTREAM_STATE_ACTIVE ||
+                          view.state == wire::UPSTREAM_STATE_DRAINING;
+  return isRoutable ? &view : nullptr;
 }
 
 Owner
 ServiceTable::FindOwner(std::string_view aKey, uint32_t aSlots) const
 {
-  const uint64_t hash = HashOf(aKey);
+  const uint64_t hash = HashKey(aKey);
   Owner owner;
   owner.slot = SlotOfHash(hash, aSlots);
   if (const HotKey* hot = FindHotKey(hash, aKey)) {
-    owner.upstream = Reachable(hot->upstream);
+    owner.upstream = FindRoutable(hot->upstream);
     owner.fence = hot->fence;
     owner.hotKey = true;
     return owner;
   }
   if (owner.slot.value < slots.Size()) {
     const SlotEntry& entry = slots[owner.slot.value];
-    owner.upstream = Reachable(entry.upstream);
-    owner.fence = entry.OwnFence();
+    owner.upstream = FindRoutable(entry.upstream);
+    owner.fence = entry.OwnerFence();
   }
   return owner;
 }
@@ -222,7 +224,7 @@
 ServiceTable::FindLimit(std::string_view aCustomer) const
 {
   const auto found =
-    LowerBoundOfCustomer(limits->begin(), limits->end(), aCustomer);
+    LowerBoundByCustomer(limits->begin(), limits->end(), aCustomer);
   return found != limits->end() && found->customer.value == aCustomer ? &*found
                                                                       : nullptr;
 }
@@ -231,7 +233,7 @@
 ServiceTable::FindBan(std::string_view aFingerprint, WallTime aNow) const
 {
   const auto found =
-    LowerBoundOfFingerprint(bans->begin(), bans->end(), aFingerprint);
+    LowerBoundByFingerprint(bans->begin(), bans->end(), aFingerprint);
   if (found == bans->end() || found->fingerprint() != aFingerprint) {
     return nullptr;
   }
@@ -243,34 +245,36 @@
 ServiceTable::GrantsOf(const std::vector<UpstreamName>& aUpstreams) const
 {
   std::vector<std::vector<wire::SlotOwner>> grants(aUpstreams.size());
-  std::vector<std::vector<wire::SlotOwner>*> wanted(upstreams.Size(), nullptr);
+  std::vector<std::vector<wire::SlotOwner>*> grantsByIndex(upstreams.Size(),
+                                                           nullptr);
   for (size_t i = 0; i < aUpstreams.size(); ++i) {
     if (const auto index = IndexOf(aUpstreams[i].value)) {
-      wanted[*index] = &grants[i];
+      grantsByIndex[*index] = &grants[i];
     }
   }
-  const auto listOf = [&](UpstreamIndex aIndex) {
-    return aIndex == kNoUpstream ? nullptr : wanted[aIndex];
+  const auto grantsOfIndex = [&](UpstreamIndex aIndex) {
+    return aIndex == kNoUpstream ? nullptr : grantsByIndex[aIndex];
   };
   for (size_t slot = 0; slot < slots.Size(); ++slot) {
-    if (auto* list = listOf(slots[slot].upstream)) {
-      list->push_back(SlotGrant(name, slot, slots[slot]));
+    if (auto* list = grantsOfIndex(slots[slot].upstream)) {
+      list->push_back(MakeSlotGrant(name, slot, slots[slot]));
     }
   }
   for (const HotKey& hot : *hotKeys) {
-    if (auto* list = listOf(hot.upstream)) {
-      list->push_back(KeyGrantOf(name, hot, hot.fence));
+    if (auto* list = grantsOfIndex(hot.upstream)) {
+      list->push_back(MakeKeyGrant(name, hot, hot.fence));
     }
     const Slot slot = SlotOfHash(hot.hash, record ? record->slots : 0);
     if (slot.value >= slots.Size() ||
         slots[slot.value].upstream == hot.upstream) {
       continue;
     }
-    // The slot's owner keeps its fence when a key moves out of the slot. An
-    // entry with an older table would have it run the key beside the new
-    // owner; listing the key as not granted makes it refuse.
-    if (auto* list = listOf(slots[slot.value].upstream)) {
-      list->push_back(KeyGrantOf(name, hot, Fence{}));
+    // When a key moves out of a slot, the slot's owner keeps its fence. An
+    // entry host with an older table would still send the key to that owner,
+    // which would run it at the same time as the new owner. The grant with
+    // fence 0 makes the slot's owner refuse the key.
+    if (auto* list = grantsOfIndex(slots[slot.value].upstream)) {
+      list->push_back(MakeKeyGrant(name, hot, Fence{}));
     }
   }
   return grants;
@@ -292,9 +296,9 @@
 void
 ServiceEditor::SetLimit(records::LimitRecord aLimit)
 {
-  auto& limits = CopyOnce(mLimits, mResult.limits);
+  auto& limits = MutableCopy(mLimits, mResult.limits);
   const auto found =
-    LowerBoundOfCustomer(limits.begin(), limits.end(), aLimit.customer.value);
+    LowerBoundByCustomer(limits.begin(), limits.end(), aLimit.customer.value);
   if (found != limits.end() && found->customer == aLimit.customer) {
     *found = std::move(aLimit);
   } else {
@@ -305,7 +309,7 @@
 void
 ServiceEditor::RemoveLimit(const CustomerName& aCustomer)
 {
-  auto& limits = CopyOnce(mLimits, mResult.limits);
+  auto& limits = MutableCopy(mLimits, mResult.limits);
   std::erase_if(limits, [&](const records::LimitRecord& aLimit) {
     return aLimit.customer == aCustomer;
   });
@@ -314,7 +318,8 @@
 void
 ServiceEditor::SetUpstream(const wire::Upstream& aUpstream)
 {
-  mUpstreams.Change(Intern(aUpstream.name())) = ViewOf(aUpstream);
+  mUpstreams.Mutable(FindOrAddUpstream(aUpstream.name())) =
+    MakeUpstreamView(aUpstream);
 }
 
 void
@@ -330,11 +335,11 @@
 void
 ServiceEditor::SetSlotOwner(const wire::SlotOwner& aOwner)
 {
-  const UpstreamIndex upstream = Intern(aOwner.upstream());
+  const UpstreamIndex upstream = FindOrAddUpstream(aOwner.upstream());
   mSlots.GrowTo(size_t{ aOwner.slot() } + 1);
-  SlotEntry& entry = mSlots.Change(aOwner.slot());
-  Touch(entry.upstream);
-  Touch(upstream);
+  SlotEntry& entry = mSlots.Mutable(aOwner.slot());
+  MarkGrantsChanged(entry.upstream);
+  MarkGrantsChanged(upstream);
   entry.upstream = upstream;
   entry.SetFence({ aOwner.fence() });
 }
@@ -342,14 +347,15 @@
 void
 ServiceEditor::SetKeyOwner(const wire::SlotOwner& aOwner)
 {
-  const uint64_t hash = HashOf(aOwner.key());
-  const UpstreamIndex upstream = Intern(aOwner.upstream());
-  auto& keys = CopyOnce(mHotKeys, mResult.hotKeys);
+  const uint64_t hash = HashKey(aOwner.key());
+  const UpstreamIndex upstream = FindOrAddUpstream(aOwner.upstream());
+  auto& keys = MutableCopy(mHotKeys, mResult.hotKeys);
   auto found = LowerBound(keys.begin(), keys.end(), hash, aOwner.key());
-  const bool exists = found != keys.end() && IsKey(*found, hash, aOwner.key());
-  TouchOwnerOfSlot(hash);
+  const bool exists =
+    found != keys.end() && Matches(*found, hash, aOwner.key());
+  MarkSlotOwnerChanged(hash);
   if (exists) {
-    Touch(found->upstream);
+    MarkGrantsChanged(found->upstream);
   }
   if (aOwner.removed()) {
     if (exists) {
@@ -357,7 +363,7 @@
     }
     return;
   }
-  Touch(upstream);
+  MarkGrantsChanged(upstream);
   if (!exists) {
     found = keys.insert(found, HotKey{ hash, aOwner.key(), {}, {} });
   }
@@ -368,9 +374,9 @@
 void
 ServiceEditor::SetBan(const wire::Ban& aBan)
 {
-  auto& bans = CopyOnce(mBans, mResult.bans);
+  auto& bans = MutableCopy(mBans, mResult.bans);
   const auto found =
-    LowerBoundOfFingerprint(bans.begin(), bans.end(), aBan.fingerprint());
+    LowerBoundByFingerprint(bans.begin(), bans.end(), aBan.fingerprint());
   const bool exists =
     found != bans.end() && found->fingerprint() == aBan.fingerprint();
   if (aBan.lifted()) {
@@ -391,7 +397,7 @@
 }
 
 std::optional<UpstreamIndex>
-ServiceEditor::Find(std::string_view aName) const
+ServiceEditor::FindUpstream(std::string_view aName) const
 {
   const auto& byName = mByName ? *mByName : *mResult.byName;
   const auto found = std::partition_point(
@@ -405,23 +411,23 @@
 }
 
 UpstreamIndex
-ServiceEditor::Intern(std::string_view aName)
+ServiceEditor::FindOrAddUpstream(std::string_view aName)
 {
   if (aName.empty()) {
     return kNoUpstream;
   }
-  if (const auto found = Find(aName)) {
+  if (const auto found = FindUpstream(aName)) {
     return *found;
   }
-  // An owner may be named before its upstream is described; until then its
-  // state is unspecified and nobody is sent to it.
+  // A slot owner may arrive before the description of its upstream. Until then
+  // the upstream's state is unspecified and it receives no requests.
   const auto index = static_cast<UpstreamIndex>(mUpstreams.Size());
   UpstreamView view;
   view.name = { std::string(aName) };
   view.service = mResult.name;
   view.state = wire::UPSTREAM_STATE_UNSPECIFIED;
   mUpstreams.Append(std::move(view));
-  auto& byName = CopyOnce(mByName, mResult.byName);
+  auto& byName = MutableCopy(mByName, mResult.byName);
   const auto place = std::partition_point(
     byName.begin(), byName.end(), [&](UpstreamIndex aOther) {
       return mUpstreams[aOther].name.value < aName;
@@ -431,20 +437,20 @@
 }
 
 void
-ServiceEditor::Touch(UpstreamIndex aIndex)
+ServiceEditor::MarkGrantsChanged(UpstreamIndex aIndex)
 {
   if (aIndex != kNoUpstream) {
-    mTouched.push_back(aIndex);
+    mUpstreamsWithChangedGrants.push_back(aIndex);
   }
 }
 
 void
-ServiceEditor::TouchOwnerOfSlot(uint64_t aHash)
+ServiceEditor::MarkSlotOwnerChanged(uint64_t aHash)
 {
   const Slot slot =
     SlotOfHash(aHash, mResult.record ? mResult.record->slots : 0);
   if (slot.value < mSlots.Size()) {
-    Touch(mSlots[slot.value].upstream);
+    MarkGrantsChanged(mSlots[slot.value].upstream);
   }
 }
 
@@ -454,16 +460,16 @@
   mResult.upstreams = mUpstreams.Finish();
   mResult.slots = mSlots.Finish();
   if (mByName) {
-    mResult.byName = Share(std::move(*mByName));
+    mResult.byName = MakeShared(std::move(*mByName));
   }
   if (mHotKeys) {
-    mResult.hotKeys = Share(std::move(*mHotKeys));
+    mResult.hotKeys = MakeShared(std::move(*mHotKeys));
   }
   if (mLimits) {
-    mResult.limits = Share(std::move(*mLimits));
+    mResult.limits = MakeShared(std::move(*mLimits));
   }
   if (mBans) {
-    mResult.bans = Share(std::move(*mBans));
+    mResult.bans = MakeShared(std::move(*mBans));
   }
   return std::make_shared<const ServiceTable>(std::move(mResult));
 }
--- a/src/librattandyke/routing/service_table.h
+++ b/src/librattandyke/routing/service_table.h
@@ -1,4 +1,4 @@
-/// The part of a routing table that belongs to one service.
+/// Routing table of one service, and the editor that derives new versions.
 #pragma once
 
 #include <memory>
@@ -14,29 +14,32 @@
 
 namespace rattandyke::routing {
 
-/// @return the 64-bit xxHash of a key, seed 0; its high part is the slot.
-uint64_t HashOf(std::string_view aKey);
+/// @return the 64-bit xxHash (seed 0) of a key. Its high bits select the slot.
+uint64_t HashKey(std::string_view aKey);
 
-/// @return a number in which each bit depends on all bits of the other one
-/// (the finalizer of SplitMix64).
-uint64_t Mixed(uint64_t aNumber);
+/// @return aNumber mixed by the finalizer of SplitMix64: each bit of the result
+/// depends on all bits of aNumber.
+uint64_t MixBits(uint64_t aNumber);
 
-/// @return the slot of a key whose hash is known.
+/// @return the slot of a key with hash aHash in a service of aSlots slots.
 Slot SlotOfHash(uint64_t aHash, uint32_t aSlots);
 
-/// Position of an upstream in ServiceTable::upstreams.
+/// Index of an upstream in ServiceTable::upstreams.
 using UpstreamIndex = uint32_t;
 constexpr UpstreamIndex kNoUpstream = UINT32_MAX;
 
-/// Who owns a slot. The fence is in two halves because 12 bytes a slot in place
-/// of 16 save a megabyte at full size.
+/// Owner and fence of a slot. The fence is stored as two halves, so that an
+/// entry takes 12 bytes instead of 16; this saves 1 MB in a table of full size.
 struct SlotEntry
 {
   UpstreamIndex upstream = kNoUpstream;
   uint32_t fenceHigh = 0;
   uint32_t fenceLow = 0;
 
-  Fence OwnFence() const { return { uint64_t{ fenceHigh } << 32 | fenceLow }; }
+  Fence OwnerFence() const
+  {
+    return { uint64_t{ fenceHigh } << 32 | fenceLow };
+  }
   void SetFence(Fence aFence)
   {
     fenceHigh = static_cast<uint32_t>(aFence.value >> 32);
@@ -44,7 +47,7 @@
   }
 };
 
-/// A key that has an owner of its own.
+/// A key that is assigned to an upstream separately from its slot.
 struct HotKey
 {
   uint64_t hash = 0;
@@ -53,8 +56,8 @@
   Fence fence;
 };
 
-/// Immutable once built. Parts that change seldom are shared whole, the long
-/// ones by chunks.
+/// Routing table of one service, immutable after construction. Versions share
+/// unchanged data: upstreams and slots by chunk, the other members as a whole.
 struct ServiceTable
 {
   static constexpr size_t kUpstreamChunk = 64;
@@ -65,17 +68,17 @@
   using Shared = std::shared_ptr<const std::vector<T>>;
 
   ServiceName name;
-  /// Newest form that is understood here; null if there is none.
+  /// Newest record whose schema this version supports; null if there is none.
   std::shared_ptr<const records::ServiceRecord> record;
   Upstreams upstreams;
-  /// Indexes of upstreams, in order of their names.
+  /// Indexes of upstreams, sorted by upstream name.
   Shared<UpstreamIndex> byName;
   Slots slots;
-  /// In order of hash, then key.
+  /// Sorted by hash, then key.
   Shared<HotKey> hotKeys;
-  /// In order of customer.
+  /// Sorted by customer.
   Shared<records::LimitRecord> limits;
-  /// In order of fingerprint.
+  /// Sorted by fingerprint.
   Shared<wire::Ban> bans;
 
   explicit ServiceTable(ServiceName aName);
@@ -86,19 +89,19 @@
   const records::LimitRecord* FindLimit(std::string_view aCustomer) const;
   const wire::Ban* FindBan(std::string_view aFingerprint, WallTime aNow) const;
 
-  /// See RoutingTable::GrantsOf; one pass over the slots for all of them.
+  /// See RoutingTable::GrantsOf. Scans the slots once for all upstreams.
   std::vector<std::vector<wire::SlotOwner>> GrantsOf(
     const std::vector<UpstreamName>& aUpstreams) const;
 
 private:
-  const UpstreamView* Reachable(UpstreamIndex aIndex) const;
+  const UpstreamView* FindRoutable(UpstreamIndex aIndex) const;
 };
 
-/// Applies changes to a copy of a service's part.
+/// Builds a changed version of a ServiceTable.
 class ServiceEditor
 {
 public:
-  /// @param aBase the part as it was; shared, not copied.
+  /// @param aBase previous version; its unchanged data is shared, not copied.
   explicit ServiceEditor(const ServiceTable& aBase);
 
   void SetRecord(std::shared_ptr<const records::ServiceRecord> aRecord);
@@ -108,29 +111,32 @@
   void SetOwner(const wire::SlotOwner& aOwner);
   void SetBan(const wire::Ban& aBan);
 
-  /// Upstreams whose grants changed so far.
-  const std::vector<UpstreamIndex>& Touched() const { return mTouched; }
+  /// Upstreams whose grants have changed so far; may contain duplicates.
+  const std::vector<UpstreamIndex>& UpstreamsWithChangedGrants() const
+  {
+    return mUpstreamsWithChangedGrants;
+  }
   const UpstreamName& NameOf(UpstreamIndex aIndex) const;
 
   std::shared_ptr<const ServiceTable> Finish();
 
 private:
-  std::optional<UpstreamIndex> Find(std::string_view aName) const;
-  UpstreamIndex Intern(std::string_view aName);
+  std::optional<UpstreamIndex> FindUpstream(std::string_view aName) const;
+  UpstreamIndex FindOrAddUpstream(std::string_view aName);
   void SetSlotOwner(const wire::SlotOwner& aOwner);
   void SetKeyOwner(const wire::SlotOwner& aOwner);
-  void Touch(UpstreamIndex aIndex);
-  void TouchOwnerOfSlot(uint64_t aHash);
+  void MarkGrantsChanged(UpstreamIndex aIndex);
+  void MarkSlotOwnerChanged(uint64_t aHash);
 
   ServiceTable mResult;
   ServiceTable::Upstreams::Editor mUpstreams;
   ServiceTable::Slots::Editor mSlots;
-  /// Private copies, made on the first change.
+  /// Mutable copies of the members of mResult, made on the first change.
   std::optional<std::vector<UpstreamIndex>> mByName;
   std::optional<std::vector<HotKey>> mHotKeys;
   std::optional<std::vector<records::LimitRecord>> mLimits;
   std::optional<std::vector<wire::Ban>> mBans;
-  std::vector<UpstreamIndex> mTouched;
+  std::vector<UpstreamIndex> mUpstreamsWithChangedGrants;
 };
 
 } // namespace rattandyke::routing
