--- a/src/include/rattandyke/admission.h
+++ b/src/include/rattandyke/admission.h
@@ -1,4 +1,4 @@
-/// Plug-in kind "admission": who may use an upstream's slots next.
+/// Plug-in kind "admission": admission control for the slots of an upstream.
 #pragma once
 
 #include <optional>
@@ -11,53 +11,53 @@
 
 namespace rattandyke::admission {
 
-/// Names one offered request; chosen by the owner of the Admission, never used
-/// again.
+/// Identifier of one offered request, chosen by the owner of the Admission and
+/// never reused.
 using Ticket = Strong<struct TicketTag, uint64_t>;
 
-/// A customer's share, from its limit record or the defaults.
+/// Weight and limits of a customer, from its limit record or the defaults.
 struct Share
 {
-  /// Slots it gets in contention, in proportion to the others' weights.
+  /// Share of the slots under contention, relative to the other weights.
   double weight = 1.0;
-  /// Requests it may run at once here; 0: unlimited.
+  /// Maximum concurrent requests in this Admission; 0: unlimited.
   uint32_t maxConcurrent = 0;
-  /// Requests it may start each second here; 0: unlimited.
+  /// Maximum requests started per second in this Admission; 0: unlimited.
   double ratePerSecond = 0;
 };
 
-/// A request asks for a slot.
+/// Event: a request asks for a slot.
 struct Offer
 {
   Ticket ticket;
   CustomerName customer;
   Share share;
-  /// Refused if it cannot be admitted until then.
+  /// The request is refused if it cannot be admitted by this time.
   Instant admitBy{};
-  /// Refused if it cannot be finished until then, by the estimate of the
-  /// service time.
+  /// The request is refused if, by the estimated service time, it cannot
+  /// finish by this time.
   Instant deadline{};
   bool idempotent = false;
 };
 
-/// A queued request no longer wants a slot, or an admitted one did not use it.
+/// Event: a queued request is withdrawn, or an admitted one did not use a slot.
 struct Left
 {
   Ticket ticket;
 };
 
-/// How an admitted request went.
+/// Result of an admitted request.
 enum class Ending
 {
   Succeeded,
   Failed,
-  /// The upstream refused it for overload.
+  /// The upstream refused it because of overload.
   Shed,
-  /// Ended before the upstream answered; its time says nothing.
+  /// Ended before the upstream answered; its service time is not meaningful.
   Cancelled,
 };
 
-/// An admitted request gives back its slot.
+/// Event: an admitted request has ended and releases its slot.
 struct Finished
 {
   Ticket ticket;
@@ -67,14 +67,14 @@
   Duration retryAfter{};
 };
 
-/// The number of slots to give out changed: a cold start ramps up, a credit
-/// came or went, the upstream drains (0).
+/// Event: the number of usable slots changed, because a cold start ramps up, a
+/// credit was added or removed, or the upstream drains (0 slots).
 struct Slots
 {
   uint32_t slots = 0;
 };
 
-/// The instant of NextTick came.
+/// Event: the time that NextTick returned has come.
 struct Tick
 {};
 
@@ -86,47 +86,47 @@
   Ticket ticket;
 };
 
-/// The request did not and will not run: final, at once.
+/// The request is rejected at once. It has not run and will not run.
 struct Refuse
 {
   Ticket ticket;
   /// Overloaded, LimitExceeded or DeadlineExceeded.
   Code code = Code::Overloaded;
-  /// When trying again can help.
+  /// Delay after which a retry may succeed.
   Duration retryAfter{};
 };
 
 using Effect = std::variant<Admit, Refuse>;
 
-/// What an Admission starts with.
+/// Initial parameters of an Admission.
 struct Settings
 {
   uint32_t slots = 1;
   /// Longest wait in the queue.
   Duration maxQueueTime = std::chrono::seconds(1);
-  /// Most requests that one customer may have in the queue.
+  /// Maximum number of queued requests per customer.
   uint32_t maxQueuedEach = 256;
-  /// Estimate of the service time until the first request finished.
+  /// Estimated service time, used until the first request has finished.
   Duration serviceTime = std::chrono::milliseconds(10);
 };
 
-/// Queue in front of the slots of one upstream. A state machine: each Offer
+/// Admission queue for the slots of one upstream. A state machine: each Offer
 /// gets one Admit or Refuse, unless Left comes first. Not thread-safe.
 class Admission
 {
 public:
   virtual ~Admission() = default;
 
-  /// @return what became of the offered requests, in order.
+  /// @return the decisions on offered requests, in order.
   virtual std::vector<Effect> Step(const Event& aEvent, Instant aNow) = 0;
 
-  /// @return when Tick is due; none if nothing waits for time to pass.
+  /// @return when the next Tick is due; none if no decision depends on time.
   virtual std::optional<Instant> NextTick() const = 0;
 
-  /// @return requests that wait.
+  /// @return the number of queued requests.
   virtual size_t Queued() const = 0;
 
-  /// @return requests that hold a slot.
+  /// @return the number of requests that hold a slot.
   virtual size_t Running() const = 0;
 };
 
--- a/src/include/rattandyke/health.h
+++ b/src/include/rattandyke/health.h
@@ -1,4 +1,4 @@
-/// Plug-in kind "health": which upstreams are worth sending to.
+/// Plug-in kind "health": outlier detection and ejection of upstreams.
 #pragma once
 
 #include <variant>
@@ -9,7 +9,7 @@
 
 namespace rattandyke::health {
 
-/// One life of an upstream.
+/// One process of an upstream, by name and incarnation.
 struct UpstreamId
 {
   UpstreamName name;
@@ -17,20 +17,20 @@
   auto operator<=>(const UpstreamId&) const = default; // NOLINT(*-nullptr)
 };
 
-/// How one request went.
+/// Result of one request.
 enum class Observation
 {
   Succeeded,
-  /// Answered with a failure of its own.
+  /// The upstream answered with a failure.
   Failed,
-  /// Refused the request for overload.
+  /// The upstream refused the request because of overload.
   Shed,
   /// No connection, a lost connection, or no answer in time.
   Unreachable,
 };
 
-/// Something that this host saw itself; what an upstream says of its own
-/// health lags or misleads, so it is not asked.
+/// Event: a request result that this host observed. Health reports of the
+/// upstreams themselves may be late or wrong, so they are not used.
 struct Evidence
 {
   UpstreamId upstream;
@@ -40,7 +40,7 @@
   Duration retryAfter{};
 };
 
-/// The upstreams of the service changed.
+/// Event: the upstreams of the service changed.
 struct Members
 {
   struct Member
@@ -48,7 +48,7 @@
     UpstreamId id;
     /// Slots it announced.
     uint32_t slots = 1;
-    /// It registered this long ago; its cold start is ramped.
+    /// Time since registration, for the ramp-up after a cold start.
     Duration age{};
   };
   std::vector<Member> members;
@@ -56,15 +56,15 @@
 
 using Event = std::variant<Evidence, Members>;
 
-/// What to do with a request whose key the upstream owns. Since each key has
-/// one owner, an ejected upstream's requests fail fast instead of going
-/// elsewhere.
+/// Decision on a request for a key that the upstream owns. Since each key has
+/// one owner, requests to an ejected upstream fail fast instead of going to
+/// another upstream.
 struct Verdict
 {
   bool accept = true;
-  /// If not accepted: when trying again can help.
+  /// If not accepted: delay after which a retry may succeed.
   Duration retryAfter{};
-  /// Slots to use now, as cold start and shedding allow; at least 1.
+  /// Usable slots, limited by cold start and load shedding; at least 1.
   uint32_t slots = 1;
 };
 
@@ -73,7 +73,7 @@
   Duration coldStart{};
 };
 
-/// Judges the upstreams of one service. Not thread-safe.
+/// Outlier detector for the upstreams of one service. Not thread-safe.
 class Health
 {
 public:
@@ -81,11 +81,11 @@
 
   virtual void Step(const Event& aEvent, Instant aNow) = 0;
 
-  /// Asked before each request; an ejected upstream is let one request through
-  /// now and then as a probe.
+  /// Called before each request. Occasionally accepts one request to an ejected
+  /// upstream as a probe.
   virtual Verdict Judge(const UpstreamId& aUpstream, Instant aNow) = 0;
 
-  /// @return the upstreams that are ejected now.
+  /// @return the upstreams that are ejected at aNow.
   virtual std::vector<UpstreamId> Ejected(Instant aNow) const = 0;
 };
 
--- a/src/include/rattandyke/placement.h
+++ b/src/include/rattandyke/placement.h
@@ -1,4 +1,4 @@
-/// Plug-ins that decide which upstream should own which keys.
+/// Plug-in kind "placement": decides which upstream owns which keys.
 #pragma once
 
 #include <chrono>
@@ -10,16 +10,16 @@
 
 namespace rattandyke::placement {
 
-/// Position of an upstream in Input::upstreams.
+/// Index into Input::upstreams that means "no upstream".
 inline constexpr uint32_t kNobody = UINT32_MAX;
 
 enum class Condition : uint8_t
 {
-  /// May be given keys.
+  /// May receive keys.
   Active,
-  /// Keeps what it has until that is moved away.
+  /// Receives no keys; keeps its keys until they are moved away.
   Draining,
-  /// Has nothing and gets nothing.
+  /// Owns no keys and receives none.
   Gone
 };
 
@@ -27,12 +27,12 @@
 {
   std::string_view name;
   std::string_view dataCentre;
-  /// Requests it runs at once.
+  /// Maximum number of concurrent requests.
   double capacity = 1;
   Condition condition = Condition::Active;
-  /// Time since it registered; for cold starts.
+  /// Time since registration, for the ramp-up after a cold start.
   std::chrono::milliseconds age{ 0 };
-  /// Refuses much of what it is sent.
+  /// The upstream refuses a large part of its requests.
   bool drowning = false;
 };
 
@@ -40,14 +40,14 @@
 struct Slot
 {
   uint32_t owner = kNobody;
-  /// Share of the load; 1 is the average slot's. Does not follow noise: it
+  /// Load relative to the average slot, which has 1. Filtered against noise:
   /// changes only when the measured load differs clearly and for long.
   double load = 1;
-  /// Was moved a short while ago and stays, if it can.
+  /// The slot moved recently and should not move again yet, if possible.
   bool resting = false;
 };
 
-/// A key with an owner of its own, or one that is to get it.
+/// A key that is, or is to be, assigned separately from its slot.
 struct HotKey
 {
   uint32_t slot = 0;
@@ -57,14 +57,14 @@
   bool resting = false;
 };
 
-/// Wishes of the service's record.
+/// Placement preferences from the service's record.
 struct Wishes
 {
   double imbalanceWeight = 1;
   double churnWeight = 1;
   double unavailableWeight = 1;
   std::chrono::milliseconds coldStart{ 0 };
-  /// Nothing moves but what is lost, draining or drowning.
+  /// Only keys of lost, draining or overloaded upstreams may move.
   bool deadlineWindow = false;
 };
 
@@ -74,7 +74,7 @@
   std::vector<Upstream> upstreams;
   std::vector<Slot> slots;
   std::vector<HotKey> hotKeys;
-  /// Owned slots and keys that may be taken from their owners now.
+  /// Maximum number of owned slots and keys that this plan may move.
   size_t mostMoves = 0;
 };
 
@@ -96,21 +96,21 @@
 
 struct KeyMove
 {
-  /// Position in Input::hotKeys.
+  /// Index into Input::hotKeys.
   uint32_t key = 0;
   uint32_t target = kNobody;
   Reason reason = Reason::HotKey;
 };
 
-/// Targets for everything without an owner, and moves worth making.
+/// Targets for slots and keys without an owner, and moves of owned ones.
 struct Plan
 {
   std::vector<SlotMove> slots;
   std::vector<KeyMove> keys;
 };
 
-/// Without state of its own: the same input gives the same plan, also on the
-/// leader after this one.
+/// Stateless placement policy: equal inputs give equal plans, so a new leader
+/// plans as the previous one did.
 class Policy
 {
 public:
