--- a/src/include/rattandyke/result.h
+++ b/src/include/rattandyke/result.h
@@ -56,7 +56,7 @@
   HostUnreachable = 603,
 };
 
-/// What the docs say of one code.
+/// Documentation of one result code.
 struct CodeInfo
 {
   Code code;
@@ -70,15 +70,15 @@
   std::string_view remedy;
 };
 
-/// Every code with its text, in rising order of number. Source of
+/// All codes with their descriptions, in ascending order. Source of
 /// docs/ERRORS.md.
 std::span<const CodeInfo> AllCodes();
 
 /// @param aCode a member of Code.
-/// @return its row; the row of Ok for a number that is not in the table.
+/// @return its description, or that of Ok if the table does not contain aCode.
 const CodeInfo& Describe(Code aCode);
 
-/// A failed call: the code for programs, the message for people.
+/// Error of a failed call: a code for programs and a message for people.
 struct Error
 {
   Code code = Code::Ok;
--- a/src/include/rattandyke/types.h
+++ b/src/include/rattandyke/types.h
@@ -1,4 +1,4 @@
-/// Names and units shared by every part: identities, instants, fences.
+/// Basic value types: times, identifiers, names and fencing tokens.
 #pragma once
 
 #include <chrono>
@@ -18,7 +18,7 @@
 /// people and for retention times; never for leases.
 using WallTime = std::chrono::sys_time<std::chrono::milliseconds>;
 
-/// A value that only compares with its own kind.
+/// Strongly typed value: compares only with values of the same tag.
 template<typename Tag, typename Value>
 struct Strong
 {
@@ -26,18 +26,18 @@
   auto operator<=>(const Strong&) const = default; // NOLINT(*-nullptr)
 };
 
-/// One life of one host's durable state: drawn at random when a data folder is
-/// made, so that a host that lost its disk is a new voter, not the old one.
+/// Random identifier of a host's durable state, drawn when the data folder is
+/// created. A host that lost its disk gets a new one and is a new voter.
 using HostIdentity = Strong<struct HostIdentityTag, uint64_t>;
 
-/// Position in the replicated log; the first entry has 1.
+/// Position in the replicated log; the first entry has index 1.
 using LogIndex = Strong<struct LogIndexTag, uint64_t>;
 
-/// Position of a change in the routing table: the log index that made it.
+/// Version of the routing table: the log index of its newest change.
 using TableVersion = Strong<struct TableVersionTag, uint64_t>;
 
 /// Fencing token of a grant: the log index at which the grant was committed,
-/// so it only rises for any slot.
+/// so it increases with each grant of a slot.
 using Fence = Strong<struct FenceTag, uint64_t>;
 
 /// Names from settings and announcements; unique in a deployment.
