--- a/src/librattandyke/gateway/outgoing_frame.h
+++ b/src/librattandyke/gateway/outgoing_frame.h
@@ -13,8 +13,8 @@
 ///
 /// 1,400 routes take 100 KB, which occupy the link of 2 Mbit/s of a small entry
 /// host for 0.4 s and delay the requests and answers queued behind them. Names
-/// and paths compress to a fifth, which takes 0.07 s. Each frame costs 2 ms of a
-/// core at the sender and 0.5 ms at the receiver.
+/// and paths compress to a fifth, which takes 0.07 s. Each frame costs 2 ms of
+/// a core at the sender and 0.5 ms at the receiver.
 class OutgoingFrame
 {
 public:
