--- a/src/librattandyke/gateway/request_handler.cpp
+++ b/src/librattandyke/gateway/request_handler.cpp
@@ -302,7 +302,7 @@
 RequestHandler::MetricsPage()
 {
   const State& state = mFeed.CurrentState();
-  mMetrics.Set("state_index", static_cast<double>(state.Applied().value));
+  mMetrics.Set("state_index", static_cast<double>(state.AppliedIndex().value));
   mMetrics.Set("state_age_seconds",
                std::chrono::duration<double>(mFeed.StateAge()).count());
   mMetrics.Set("entries", static_cast<double>(state.Entries().size()));
@@ -341,7 +341,7 @@
   flow.route = mRoutes.Find(host, path);
   if (!flow.route) {
     Line(id) << "no route host=" << host << " path=" << path
-             << " index=" << mFeed.CurrentState().Applied().value
+             << " index=" << mFeed.CurrentState().AppliedIndex().value
              << " age_ms=" << Ms(mFeed.StateAge());
     co_return Own(kNotFound, id, "no route matches");
   }
@@ -615,7 +615,7 @@
            << " reason=" << aReason << " last=" << aFlow.lastReason
            << " owner=" << (aFlow.owner.empty() ? "-" : aFlow.owner)
            << " upstream=" << aFlow.lastUpstream
-           << " index=" << mFeed.CurrentState().Applied().value
+           << " index=" << mFeed.CurrentState().AppliedIndex().value
            << " age_ms=" << Ms(mFeed.StateAge())
            << " after_ms=" << Ms(mClock.Now() - aFlow.arrived);
   return Own(kUnavailable, id, aReason, aRetryAfter);
