--- a/src/least_moves.placement/least_moves.cpp
+++ b/src/least_moves.placement/least_moves.cpp
@@ -1,6 +1,6 @@
 #include <rattandyke/placement.h>
 
-#include "balance.h"
+#include "plan_builder.h"
 
 namespace rattandyke::placement {
 
--- a/src/least_moves.placement/balance.cpp
+++ b/src/least_moves.placement/plan_builder.cpp
@@ -1,4 +1,4 @@
-#include "balance.h"
+#include "plan_builder.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/librattandyke/gateway/control_host_calls.cpp
+++ b/src/librattandyke/gateway/control_host_calls.cpp
@@ -272,7 +272,7 @@
     co_return Refused(changed.error());
   }
   Info() << "takes a change: " << Summary(aChange) << ", in force at index "
-         << state.Applied().value;
+         << state.AppliedIndex().value;
   co_return HttpResponse{ kOk, "{}", "application/json" };
 }
 
@@ -306,7 +306,7 @@
   }
   Info() << "takes " << what << " of the evacuation of "
          << aOrder.dataCentre.value << ", in force at index "
-         << state.Applied().value;
+         << state.AppliedIndex().value;
   metrics.Increment("evacuations",
                     aOrder.ends ? "order=\"end\"" : "order=\"start\"");
   co_return HttpResponse{ kOk, "{}", "application/json" };
@@ -393,7 +393,7 @@
 ControlHost::Impl::MetricsPage()
 {
   const consensus::GroupStatus status = driver->Status();
-  metrics.Set("state_index", static_cast<double>(state.Applied().value));
+  metrics.Set("state_index", static_cast<double>(state.AppliedIndex().value));
   metrics.Set("leads", driver->IsLeader() ? 1 : 0);
   metrics.Set("term", static_cast<double>(status.term.value));
   metrics.Set("members", static_cast<double>(status.members.size()));
--- a/src/librattandyke/gateway/control_host_feed.cpp
+++ b/src/librattandyke/gateway/control_host_feed.cpp
@@ -101,7 +101,7 @@
 bool
 ControlHost::Impl::IsHopeful() const
 {
-  return state.Applied().value > 0 && clock.Now() - freshAt < kHopeful;
+  return state.AppliedIndex().value > 0 && clock.Now() - freshAt < kHopeful;
 }
 
 /// Safeguard: after all hosts were down, entries find control hosts before
--- a/src/librattandyke/gateway/control_host_log.cpp
+++ b/src/librattandyke/gateway/control_host_log.cpp
@@ -23,7 +23,7 @@
   command.ParseFromArray(aBytes.data(), static_cast<int>(aBytes.size()));
   Result<void> outcome = state.Apply(command, aIndex);
   if (outcome) {
-    feed.Applied(command, aIndex);
+    feed.AppliedIndex(command, aIndex);
     FlushFeedSoon();
   }
   if (command.has_free_ranges()) {
@@ -50,7 +50,8 @@
 ControlHost::Impl::OnLeadership(std::optional<uint64_t> aTerm)
 {
   if (aTerm) {
-    Info() << "leads term " << *aTerm << " at index " << state.Applied().value;
+    Info() << "leads term " << *aTerm << " at index "
+           << state.AppliedIndex().value;
     rangeAssigner.OnElected(state, clock.Now());
     entries.OnElected(state, clock.Now());
   } else {
--- a/src/librattandyke/gateway/entry_host.cpp
+++ b/src/librattandyke/gateway/entry_host.cpp
@@ -114,7 +114,7 @@
     if (aCommand == nullptr) {
       relay.Reset();
     } else {
-      relay.Applied(*aCommand, feed.CurrentState().Applied());
+      relay.AppliedIndex(*aCommand, feed.CurrentState().AppliedIndex());
       relay.Flush();
     }
   }
--- a/src/librattandyke/gateway/feed_client.cpp
+++ b/src/librattandyke/gateway/feed_client.cpp
@@ -278,7 +278,7 @@
                   } });
     wire::GatewayFrame frame;
     *frame.mutable_feed_open()->mutable_entry() = options.self;
-    frame.mutable_feed_open()->set_applied(state.Applied().value);
+    frame.mutable_feed_open()->set_applied(state.AppliedIndex().value);
     frame.mutable_feed_open()->set_reads_packed(true);
     made->Send(frame.SerializeAsString());
   }
@@ -303,7 +303,7 @@
     const Duration taking = clock.Now() - arrived;
     if (arriving >= Duration(kHeldUp) || taking >= Duration(kHeldUp)) {
       Info() << "took a long message bytes=" << aMessage.size()
-             << " index=" << state.Applied().value
+             << " index=" << state.AppliedIndex().value
              << " arriving_ms=" << Ms(arriving) << " taking_ms=" << Ms(taking);
     }
   }
@@ -362,7 +362,7 @@
 
   void OnSnapshot(const wire::FeedSnapshot& aSnapshot)
   {
-    if (aSnapshot.state().applied() <= state.Applied().value) {
+    if (aSnapshot.state().applied() <= state.AppliedIndex().value) {
       return;
     }
     state.Load(aSnapshot.state());
@@ -372,7 +372,7 @@
 
   void OnCommand(const wire::FeedCommand& aCommand)
   {
-    if (aCommand.index() <= state.Applied().value) {
+    if (aCommand.index() <= state.AppliedIndex().value) {
       return;
     }
     // What the state refuses changes nothing here, as at the control hosts.
@@ -385,12 +385,13 @@
   void OnPing(const wire::FeedPing& aPing)
   {
     const Duration age = milliseconds{ aPing.age_ms() };
-    if (aPing.applied() < state.Applied().value || age >= kSilence) {
+    if (aPing.applied() < state.AppliedIndex().value || age >= kSilence) {
       return; // It is behind, or cut off itself: no assurance.
     }
     heardAt = clock.Now();
     if (!assured) {
-      Info() << "follows " << current << " at index " << state.Applied().value;
+      Info() << "follows " << current << " at index "
+             << state.AppliedIndex().value;
     }
     // Safeguard: the age adds up from host to host, so that two that are cut
     // off together can't assure each other.
--- a/src/librattandyke/gateway/feed_server.cpp
+++ b/src/librattandyke/gateway/feed_server.cpp
@@ -152,7 +152,7 @@
 FeedServer::SendWhole(const Connection& aConnection,
                       const Subscriber& aSubscriber)
 {
-  const uint64_t applied = mState.Applied().value;
+  const uint64_t applied = mState.AppliedIndex().value;
   const uint64_t longestTail =
     std::max(kLeastTail, mState.Instances().size() / kTailPart);
   const bool usable = mWhole && mWholeIndex >= mForgottenUpTo &&
@@ -177,7 +177,7 @@
 void
 FeedServer::Catch(const Connection& aConnection, Subscriber& aSubscriber)
 {
-  const uint64_t applied = mState.Applied().value;
+  const uint64_t applied = mState.AppliedIndex().value;
   aSubscriber.ahead = aSubscriber.told > applied;
   if (aSubscriber.told >= applied) {
     return;
@@ -195,7 +195,7 @@
 }
 
 void
-FeedServer::Applied(const wire::GatewayCommand& aCommand, LogIndex aIndex)
+FeedServer::AppliedIndex(const wire::GatewayCommand& aCommand, LogIndex aIndex)
 {
   const bool forget = mWhileAlone == WhileAlone::Forget ||
                       aCommand.ByteSizeLong() > kKeptForNobody;
@@ -255,7 +255,7 @@
   mRecent.clear();
   mRecentCommands = 0;
   mWhole.reset();
-  mForgottenUpTo = mState.Applied().value;
+  mForgottenUpTo = mState.AppliedIndex().value;
 }
 
 void
@@ -293,7 +293,7 @@
   }
   wire::GatewayFrame frame;
   wire::FeedPing* ping = frame.mutable_feed_ping();
-  ping->set_applied(mState.Applied().value);
+  ping->set_applied(mState.AppliedIndex().value);
   ping->set_age_ms(static_cast<uint32_t>(
     std::chrono::duration_cast<std::chrono::milliseconds>(aAge).count()));
   if (found->second.controlHosts != aControlHosts) {
--- a/src/librattandyke/gateway/feed_server.h
+++ b/src/librattandyke/gateway/feed_server.h
@@ -47,7 +47,7 @@
 
   /// A command was applied to the state and not refused by it. Subscribers are
   /// told with the next Flush.
-  void Applied(const wire::GatewayCommand& aCommand, LogIndex aIndex);
+  void AppliedIndex(const wire::GatewayCommand& aCommand, LogIndex aIndex);
 
   /// @return the number of subscribers.
   size_t Size() const { return mSubscribers.size(); }
--- a/src/librattandyke/gateway/feed_test.cpp
+++ b/src/librattandyke/gateway/feed_test.cpp
@@ -65,7 +65,7 @@
   /// As FeedClient does: what is known already is skipped.
   static void Take(State& aState, const wire::FeedCommand& aCommand)
   {
-    if (aCommand.index() > aState.Applied().value) {
+    if (aCommand.index() > aState.AppliedIndex().value) {
       EXPECT_TRUE(
         aState.Apply(aCommand.command(), LogIndex{ aCommand.index() }));
     }
@@ -84,7 +84,7 @@
   void Gather(const wire::GatewayCommand& aCommand)
   {
     ASSERT_TRUE(state.Apply(aCommand, LogIndex{ ++index }));
-    server.Applied(aCommand, LogIndex{ index });
+    server.AppliedIndex(aCommand, LogIndex{ index });
   }
 
   std::shared_ptr<Subscriber> Subscribe(bool aReadsPacked = false)
@@ -138,7 +138,7 @@
   ASSERT_FALSE(second->frames.empty());
   EXPECT_EQ(first->frames.front(), second->frames.front());
   for (const auto& subscriber : { first, second }) {
-    EXPECT_EQ(subscriber->CurrentState().Applied(), state.Applied());
+    EXPECT_EQ(subscriber->CurrentState().AppliedIndex(), state.AppliedIndex());
     EXPECT_EQ(subscriber->CurrentState().Instances().size(), 40U);
   }
 }
@@ -176,7 +176,7 @@
     EXPECT_EQ(server.Messages() - before, subscribers.size());
   }
   for (const auto& subscriber : subscribers) {
-    EXPECT_EQ(subscriber->CurrentState().Applied(), state.Applied());
+    EXPECT_EQ(subscriber->CurrentState().AppliedIndex(), state.AppliedIndex());
   }
 }
 
@@ -326,7 +326,7 @@
     wire::GatewayFrame whole;
     *whole.mutable_feed_snapshot()->mutable_state() = state.Save();
     wire::GatewayFrame ping;
-    ping.mutable_feed_ping()->set_applied(state.Applied().value);
+    ping.mutable_feed_ping()->set_applied(state.AppliedIndex().value);
     mBytes = Framed(whole) + Framed(ping);
     Accept();
   }
--- a/src/librattandyke/gateway/range_assigner_loads.cpp
+++ b/src/librattandyke/gateway/range_assigner_loads.cpp
@@ -41,7 +41,8 @@
                          Instant aNow)
 {
   Group& group = mGroups[aService];
-  const bool other = group.holdersStale || group.holdersAt != aState.Applied();
+  const bool other =
+    group.holdersStale || group.holdersAt != aState.AppliedIndex();
   const bool due =
     !group.holdersAt ||
     aNow - group.summedAt >=
@@ -52,7 +53,7 @@
     for (const auto& [id, holder] : group.holders) {
       group.speeds += holder.speed;
     }
-    group.holdersAt = aState.Applied();
+    group.holdersAt = aState.AppliedIndex();
     group.holdersStale = false;
     group.summedAt = aNow;
     ++mSums;
--- a/src/librattandyke/gateway/state.h
+++ b/src/librattandyke/gateway/state.h
@@ -28,7 +28,7 @@
   Result<void> Apply(const wire::GatewayCommand& aCommand, LogIndex aIndex);
 
   /// @return the index of the newest command applied.
-  LogIndex Applied() const { return mApplied; }
+  LogIndex AppliedIndex() const { return mApplied; }
 
   const ItemTable& Items() const { return mItems; }
 
