--- a/src/librattandyke/gateway/upstream_set.cpp
+++ b/src/librattandyke/gateway/upstream_set.cpp
@@ -96,7 +96,7 @@
   upstream.included = true;
   service.subset.reset();
   upstream.group =
-    static_cast<uint32_t>(routing::HashOf(aItem.first) % service.groups);
+    static_cast<uint32_t>(routing::HashKey(aItem.first) % service.groups);
   ++service.instances;
   if (IsMember(upstream)) {
     service.members[upstream.group].push_back(&aItem);
--- a/src/librattandyke/gateway/upstream_set_direct.cpp
+++ b/src/librattandyke/gateway/upstream_set_direct.cpp
@@ -59,12 +59,13 @@
   using Ranked = std::pair<uint64_t, const Item*>;
   std::vector<Ranked> near;
   std::vector<Ranked> far;
-  const uint64_t own = routing::HashOf(mOptions.host);
+  const uint64_t own = routing::HashKey(mOptions.host);
   for (const auto& [group, members] : service.members) {
     for (const Item* item : members) {
       const bool isNear = item->second.dataCentre == mOptions.dataCentre.value;
       (isNear ? near : far)
-        .emplace_back(routing::Mixed(own ^ routing::HashOf(item->first)), item);
+        .emplace_back(routing::MixBits(own ^ routing::HashKey(item->first)),
+                      item);
     }
   }
   std::sort(near.begin(), near.end());
