--- a/src/bench/routing_bench.cpp
+++ b/src/bench/routing_bench.cpp
@@ -109,7 +109,7 @@
   }
   size_t next = 0;
   const auto lookup = [&] {
-    const auto* service = table->FindService("/board/generator-7/hire");
+    const auto* service = table->FindServiceByPath("/board/generator-7/hire");
     KeepAlive(table->FindOwner(*service, keys[next++ % keys.size()]));
     KeepAlive(table->FindLimit("board", "desk"));
     KeepAlive(table->FindBan("board", "ab12", {}));
--- a/src/capacity/table_slopes.cpp
+++ b/src/capacity/table_slopes.cpp
@@ -134,7 +134,7 @@
     const auto look = [&] {
       uint64_t found = 0;
       for (const std::string& key : keys) {
-        const auto* service = table->FindService("/limits/x");
+        const auto* service = table->FindServiceByPath("/limits/x");
         found += table->FindOwner(*service, key).upstream != nullptr ? 1 : 0;
       }
       if (found != kLookups) {
--- a/src/librattandyke/agent/host_agent.h
+++ b/src/librattandyke/agent/host_agent.h
@@ -47,7 +47,7 @@
 struct TableReplaced
 {
   std::shared_ptr<const routing::RoutingTable> table;
-  routing::TouchedUpstreams touched;
+  routing::ChangedGrants touched;
 };
 /// The leader answered; the host lease holds until leaseUntil.
 struct LeaseExtended
--- a/src/librattandyke/agent/lease_keeper.cpp
+++ b/src/librattandyke/agent/lease_keeper.cpp
@@ -169,7 +169,7 @@
     return Refuse(Code::LeaseUnavailable,
                   "This host does not reach the control group.");
   }
-  if (mTable->ServiceNamed(aAnnouncement.service.value) == nullptr) {
+  if (mTable->FindServiceByName(aAnnouncement.service.value) == nullptr) {
     return Refuse(Code::UnknownService,
                   "No record describes the service '" +
                     aAnnouncement.service.value + "'.");
@@ -455,13 +455,12 @@
 }
 
 void
-LeaseKeeper::RefreshGrants(const routing::TouchedUpstreams& aTouched,
-                           Instant aNow)
+LeaseKeeper::RefreshGrants(const routing::ChangedGrants& aTouched, Instant aNow)
 {
   std::map<ServiceName, std::vector<std::pair<UpstreamName, Charge*>>> stale;
   for (auto& [key, charge] : mCharges) {
     const bool isTouched = aTouched.all || charge.grantsVersion.value == 0 ||
-                           aTouched.some.contains(key.id);
+                           aTouched.upstreams.contains(key.id);
     if (isTouched && IsOurs(key, charge)) {
       stale[key.id.service].emplace_back(key.id.name, &charge);
     }
--- a/src/librattandyke/agent/lease_keeper.h
+++ b/src/librattandyke/agent/lease_keeper.h
@@ -28,7 +28,7 @@
 struct TableArrived
 {
   std::shared_ptr<const routing::RoutingTable> table;
-  routing::TouchedUpstreams touched;
+  routing::ChangedGrants touched;
 };
 /// The leader answered a heartbeat: its reports are taken, and the host's own
 /// lease holds until leaseUntil.
@@ -163,7 +163,7 @@
   void AnswerDue(Instant aNow, Effects& aEffects);
 
   void FollowTable(const Key& aKey, Charge& aCharge, Instant aNow);
-  void RefreshGrants(const routing::TouchedUpstreams& aTouched, Instant aNow);
+  void RefreshGrants(const routing::ChangedGrants& aTouched, Instant aNow);
   /// Moves a charge on when its lease is over.
   /// @return false if it is of no more interest.
   bool CheckLapse(const Key& aKey, Charge& aCharge, Instant aNow);
--- a/src/librattandyke/agent/load_meter.cpp
+++ b/src/librattandyke/agent/load_meter.cpp
@@ -34,7 +34,7 @@
                         Slot aSlot,
                         std::string_view aKey)
 {
-  Shard& shard = mShards[routing::HashOf(aKey) % kShards];
+  Shard& shard = mShards[routing::HashKey(aKey) % kShards];
   const std::lock_guard lock(shard.mutex);
   shard.keys.Count(aService, aKey);
   auto found = shard.slots.find(aService);
--- a/src/librattandyke/gateway/control_host_calls.cpp
+++ b/src/librattandyke/gateway/control_host_calls.cpp
@@ -285,7 +285,7 @@
     co_return ErrorResponse(changed.error());
   }
   Info() << "this host takes a change of items: " << Summary(aChange)
-         << ", in force at index " << state.Applied().value;
+         << ", in force at index " << state.AppliedIndex().value;
   co_return HttpResponse{ kOk, "{}", "application/json" };
 }
 
@@ -321,7 +321,7 @@
   }
   Info() << "this host takes " << phase << " of the evacuation of "
          << aEvacuation.dataCentre.value << ", in force at index "
-         << state.Applied().value;
+         << state.AppliedIndex().value;
   metrics.Increment("evacuations",
                     aEvacuation.ends ? "order=\"end\"" : "order=\"start\"");
   co_return HttpResponse{ kOk, "{}", "application/json" };
@@ -411,7 +411,7 @@
 ControlHost::Impl::RenderMetrics()
 {
   const consensus::GroupStatus status = driver->Status();
-  metrics.Set("state_index", static_cast<double>(state.Applied().value));
+  metrics.Set("state_index", static_cast<double>(state.AppliedIndex().value));
   metrics.Set("leads", driver->IsLeader() ? 1 : 0);
   metrics.Set("term", static_cast<double>(status.term.value));
   metrics.Set("members", static_cast<double>(status.members.size()));
--- a/src/librattandyke/gateway/slot_coordinator_homes.cpp
+++ b/src/librattandyke/gateway/slot_coordinator_homes.cpp
@@ -44,7 +44,7 @@
                        return aEntry.address < aOther;
                      });
   if (at == mEntries.end() || at->address != aAddress) {
-    mEntries.insert(at, Entry{ aAddress, routing::HashOf(aAddress) });
+    mEntries.insert(at, Entry{ aAddress, routing::HashKey(aAddress) });
   }
 }
 
@@ -63,11 +63,11 @@
 SlotCoordinator::HomeOf(const std::string& aService, uint32_t aGroup) const
 {
   const uint64_t group =
-    routing::HashOf(aService + "/" + std::to_string(aGroup));
+    routing::HashKey(aService + "/" + std::to_string(aGroup));
   const Entry* home = nullptr;
   uint64_t highest = 0;
   for (const Entry& entry : mEntries) {
-    const uint64_t mixed = routing::Mixed(group ^ entry.hash);
+    const uint64_t mixed = routing::MixBits(group ^ entry.hash);
     if (home == nullptr || mixed > highest) {
       highest = mixed;
       home = &entry;
--- a/src/librattandyke/gateway/upstream_set.cpp
+++ b/src/librattandyke/gateway/upstream_set.cpp
@@ -103,7 +103,7 @@
   upstream.inService = true;
   service.subset.reset();
   upstream.group =
-    static_cast<uint32_t>(routing::HashOf(aItem.first) % service.groups);
+    static_cast<uint32_t>(routing::HashKey(aItem.first) % service.groups);
   ++service.instances;
   if (IsMember(upstream)) {
     service.members[upstream.group].push_back(&aItem);
--- a/src/librattandyke/gateway/upstream_set_direct.cpp
+++ b/src/librattandyke/gateway/upstream_set_direct.cpp
@@ -62,12 +62,13 @@
   using Ranked = std::pair<uint64_t, const Item*>;
   std::vector<Ranked> local;
   std::vector<Ranked> remote;
-  const uint64_t own = routing::HashOf(mOptions.host);
+  const uint64_t own = routing::HashKey(mOptions.host);
   for (const auto& [group, members] : service.members) {
     for (const Item* item : members) {
       const bool isLocal = item->second.dataCentre == mOptions.dataCentre.value;
       (isLocal ? local : remote)
-        .emplace_back(routing::Mixed(own ^ routing::HashOf(item->first)), item);
+        .emplace_back(routing::MixBits(own ^ routing::HashKey(item->first)),
+                      item);
     }
   }
   std::sort(local.begin(), local.end());
--- a/src/librattandyke/http/credit_home.cpp
+++ b/src/librattandyke/http/credit_home.cpp
@@ -173,7 +173,7 @@
   }
   const auto table = sources.table();
   const auto* upstream = table->FindUpstream(aLife.service, aLife.name);
-  const auto* record = table->ServiceNamed(aLife.service);
+  const auto* record = table->FindServiceByName(aLife.service);
   const bool own = upstream != nullptr && record != nullptr &&
                    upstream->home == name &&
                    upstream->incarnation == aLife.incarnation;
--- a/src/librattandyke/http/credit_sharing_test.cpp
+++ b/src/librattandyke/http/credit_sharing_test.cpp
@@ -195,7 +195,7 @@
 Deployment::Offer(size_t aEntry, size_t aRequests)
 {
   const auto& upstream = *mTable->FindUpstream("board", "board-1");
-  const auto& record = *mTable->ServiceNamed("board");
+  const auto& record = *mTable->FindServiceByName("board");
   Entry& entry = mEntries.at(HostName{ std::to_string(aEntry) });
   for (size_t request = 0; request < aRequests; ++request) {
     const Instant now = mClock.Now();
--- a/src/librattandyke/http/request_run.cpp
+++ b/src/librattandyke/http/request_run.cpp
@@ -217,7 +217,7 @@
     fingerprint,
     mTable->FindBan(service, fingerprint, mContext.clock.Wall()),
     mContext.clock.Now());
-  const auto* record = mTable->ServiceNamed(service);
+  const auto* record = mTable->FindServiceByName(service);
   if (record == nullptr) {
     return lookup;
   }
--- a/src/librattandyke/http/request_run_effects.cpp
+++ b/src/librattandyke/http/request_run_effects.cpp
@@ -235,7 +235,7 @@
 RequestRun::Execute(const flow_effect::Enqueue& aEffect)
 {
   const std::string& service = mRequest.record->name.value;
-  const auto* record = mTable->ServiceNamed(service);
+  const auto* record = mTable->FindServiceByName(service);
   const auto* upstream =
     mTable->FindUpstream(service, aEffect.owner.upstream.value);
   if (record == nullptr || upstream == nullptr) {
--- a/src/librattandyke/http/routed_request.cpp
+++ b/src/librattandyke/http/routed_request.cpp
@@ -120,7 +120,7 @@
       std::shared_ptr<const routing::RoutingTable> aTable)
 {
   RoutedRequest request;
-  request.record = aTable->FindService(PathOf(aHead));
+  request.record = aTable->FindServiceByPath(PathOf(aHead));
   if (request.record == nullptr) {
     return Fail(Code::UnknownService, "No service has this path.");
   }
--- a/src/librattandyke/routing/hot_keys.cpp
+++ b/src/librattandyke/routing/hot_keys.cpp
@@ -14,7 +14,7 @@
 HashOfBoth(std::string_view aService, std::string_view aKey)
 {
   constexpr uint64_t kMix = 0x9e3779b97f4a7c15;
-  return HashOf(aService) * kMix ^ HashOf(aKey);
+  return HashKey(aService) * kMix ^ HashKey(aKey);
 }
 
 } // namespace
--- a/src/librattandyke/routing/routing_table.cpp
+++ b/src/librattandyke/routing/routing_table.cpp
@@ -174,11 +174,11 @@
 }
 
 void
-CollectTouched(TableEditor& aEditor, TouchedUpstreams& aTouched)
+CollectTouched(TableEditor& aEditor, ChangedGrants& aTouched)
 {
   for (auto& [service, editor] : aEditor.Editors()) {
     for (const UpstreamIndex index : editor.Touched()) {
-      aTouched.some.insert({ { service }, editor.NameOf(index) });
+      aTouched.upstreams.insert({ { service }, editor.NameOf(index) });
     }
   }
 }
@@ -219,7 +219,7 @@
 
 std::shared_ptr<const RoutingTable>
 RoutingTable::Apply(const wire::TableUpdate& aUpdate,
-                    TouchedUpstreams* aTouched) const
+                    ChangedGrants* aTouched) const
 {
   const TableVersion from{ aUpdate.from_version() };
   const TableVersion to{ aUpdate.to_version() };
@@ -258,7 +258,7 @@
 }
 
 const records::ServiceRecord*
-RoutingTable::FindService(std::string_view aPath) const
+RoutingTable::FindServiceByPath(std::string_view aPath) const
 {
   const std::string_view prefix = FirstSegment(aPath);
   const auto& services = mImpl->byPrefix;
@@ -272,7 +272,7 @@
 }
 
 const records::ServiceRecord*
-RoutingTable::ServiceNamed(std::string_view aName) const
+RoutingTable::FindServiceByName(std::string_view aName) const
 {
   const ServiceTable* service = mImpl->Find(aName);
   return service != nullptr ? service->record.get() : nullptr;
--- a/src/librattandyke/routing/routing_table.h
+++ b/src/librattandyke/routing/routing_table.h
@@ -52,11 +52,11 @@
 };
 
 /// Whose grants an update changed, so that nobody has to compare whole tables.
-struct TouchedUpstreams
+struct ChangedGrants
 {
   /// A complete table came: anyone's may have changed.
   bool all = false;
-  std::set<UpstreamId> some;
+  std::set<UpstreamId> upstreams;
 };
 
 /// An immutable table at one version. Shared between threads by
@@ -75,14 +75,14 @@
   /// @param aTouched if not null, whose grants changed is added to it.
   std::shared_ptr<const RoutingTable> Apply(
     const wire::TableUpdate& aUpdate,
-    TouchedUpstreams* aTouched = nullptr) const;
+    ChangedGrants* aTouched = nullptr) const;
 
   TableVersion Version() const;
 
   /// @param aPath request path, without the query.
   /// @return the service whose prefix is the path's first segment, or null.
-  const records::ServiceRecord* FindService(std::string_view aPath) const;
-  const records::ServiceRecord* ServiceNamed(std::string_view aName) const;
+  const records::ServiceRecord* FindServiceByPath(std::string_view aPath) const;
+  const records::ServiceRecord* FindServiceByName(std::string_view aName) const;
 
   /// @return the owner; its upstream is null if nobody may be sent the key.
   Owner FindOwner(const records::ServiceRecord& aService,
--- a/src/librattandyke/routing/routing_table_test.cpp
+++ b/src/librattandyke/routing/routing_table_test.cpp
@@ -83,7 +83,7 @@
 std::string
 OwnerName(const RoutingTable& aTable, std::string_view aKey)
 {
-  const auto* service = aTable.ServiceNamed("board");
+  const auto* service = aTable.FindServiceByName("board");
   const Owner owner = aTable.FindOwner(*service, aKey);
   return owner.upstream != nullptr ? owner.upstream->name.value : "";
 }
@@ -91,11 +91,11 @@
 TEST(RoutingTable, FindsServiceByFirstSegment)
 {
   const auto table = BaseTable();
-  EXPECT_NE(table->FindService("/board/7/hire"), nullptr);
-  EXPECT_NE(table->FindService("/board"), nullptr);
-  EXPECT_EQ(table->FindService("/boards/7"), nullptr);
-  EXPECT_EQ(table->FindService("/"), nullptr);
-  EXPECT_EQ(table->FindService(""), nullptr);
+  EXPECT_NE(table->FindServiceByPath("/board/7/hire"), nullptr);
+  EXPECT_NE(table->FindServiceByPath("/board"), nullptr);
+  EXPECT_EQ(table->FindServiceByPath("/boards/7"), nullptr);
+  EXPECT_EQ(table->FindServiceByPath("/"), nullptr);
+  EXPECT_EQ(table->FindServiceByPath(""), nullptr);
 }
 
 TEST(RoutingTable, SlotIsHighPartOfHash)
@@ -172,10 +172,10 @@
 {
   wire::TableUpdate update = UpdateOf(10, 11);
   *update.add_owners() = KeyOwnerOf("hot", "two", 11);
-  TouchedUpstreams touched;
+  ChangedGrants touched;
   const auto table = BaseTable()->Apply(update, &touched);
   EXPECT_EQ(OwnerName(*table, "hot"), "two");
-  EXPECT_EQ(touched.some.size(), 2U);
+  EXPECT_EQ(touched.upstreams.size(), 2U);
 
   const auto ofTwo = table->GrantsOf("board", "two");
   ASSERT_EQ(ofTwo.size(), 1U);
@@ -209,7 +209,7 @@
     wire::TableUpdate update = UpdateOf(from, 11);
     *update.add_records() = ServiceRecordOf("board", 99);
     const auto table = BaseTable()->Apply(update);
-    EXPECT_NE(table->FindService("/board/7"), nullptr) << from;
+    EXPECT_NE(table->FindServiceByPath("/board/7"), nullptr) << from;
   }
 }
 
@@ -218,7 +218,7 @@
   wire::TableUpdate update = UpdateOf(10, 11);
   *update.add_records() = ServiceRecordOf("board");
   update.mutable_records(0)->set_deleted(true);
-  EXPECT_EQ(BaseTable()->Apply(update)->FindService("/board/7"), nullptr);
+  EXPECT_EQ(BaseTable()->Apply(update)->FindServiceByPath("/board/7"), nullptr);
 }
 
 TEST(RoutingTable, BanEndsByTimeOrLifting)
--- a/src/librattandyke/routing/service_table.cpp
+++ b/src/librattandyke/routing/service_table.cpp
@@ -130,13 +130,13 @@
 } // namespace
 
 uint64_t
-HashOf(std::string_view aKey)
+HashKey(std::string_view aKey)
 {
   return XXH64(aKey.data(), aKey.size(), 0);
 }
 
 uint64_t
-Mixed(uint64_t aNumber)
+MixBits(uint64_t aNumber)
 {
   aNumber = (aNumber ^ (aNumber >> 30U)) * 0xbf58476d1ce4e5b9ULL;
   aNumber = (aNumber ^ (aNumber >> 27U)) * 0x94d049bb133111ebULL;
@@ -153,7 +153,7 @@
 Slot
 SlotOf(std::string_view aKey, uint32_t aSlots)
 {
-  return SlotOfHash(HashOf(aKey), aSlots);
+  return SlotOfHash(HashKey(aKey), aSlots);
 }
 
 ServiceTable::ServiceTable(ServiceName aName)
@@ -201,7 +201,7 @@
 Owner
 ServiceTable::FindOwner(std::string_view aKey, uint32_t aSlots) const
 {
-  const uint64_t hash = HashOf(aKey);
+  const uint64_t hash = HashKey(aKey);
   Owner owner;
   owner.slot = SlotOfHash(hash, aSlots);
   if (const HotKey* hot = FindHotKey(hash, aKey)) {
@@ -342,7 +342,7 @@
 void
 ServiceEditor::SetKeyOwner(const wire::SlotOwner& aOwner)
 {
-  const uint64_t hash = HashOf(aOwner.key());
+  const uint64_t hash = HashKey(aOwner.key());
   const UpstreamIndex upstream = Intern(aOwner.upstream());
   auto& keys = CopyOnce(mHotKeys, mResult.hotKeys);
   auto found = LowerBound(keys.begin(), keys.end(), hash, aOwner.key());
--- a/src/librattandyke/routing/service_table.h
+++ b/src/librattandyke/routing/service_table.h
@@ -15,11 +15,11 @@
 namespace rattandyke::routing {
 
 /// @return the 64-bit xxHash of a key, seed 0; its high part is the slot.
-uint64_t HashOf(std::string_view aKey);
+uint64_t HashKey(std::string_view aKey);
 
 /// @return a number in which each bit depends on all bits of the other one
 /// (the finalizer of SplitMix64).
-uint64_t Mixed(uint64_t aNumber);
+uint64_t MixBits(uint64_t aNumber);
 
 /// @return the slot of a key whose hash is known.
 Slot SlotOfHash(uint64_t aHash, uint32_t aSlots);
--- a/src/librattandyke/server/metrics_service.cpp
+++ b/src/librattandyke/server/metrics_service.cpp
@@ -102,7 +102,7 @@
     keeper.Observe(recorder.Collect(), clock.Wall());
     std::vector<metrics::ServiceBurn> services;
     for (const auto& [name, history] : keeper.Histories()) {
-      const records::ServiceRecord* record = table->ServiceNamed(name);
+      const records::ServiceRecord* record = table->FindServiceByName(name);
       services.push_back(
         { name,
           record == nullptr ? records::Objective{} : record->objective,
--- a/src/testing/control_world.cpp
+++ b/src/testing/control_world.cpp
@@ -207,7 +207,7 @@
                       const ModelUpstream& aUpstream,
                       uint32_t aSlot) const
 {
-  const auto* service = aHost.Table().ServiceNamed(kWorldService);
+  const auto* service = aHost.Table().FindServiceByName(kWorldService);
   if (service == nullptr) {
     return false;
   }
--- a/src/testing/control_world_host.cpp
+++ b/src/testing/control_world_host.cpp
@@ -179,7 +179,7 @@
       continue;
     }
     NoteEvidence(aHost, *upstream);
-    const auto* service = aHost.Table().ServiceNamed(kWorldService);
+    const auto* service = aHost.Table().FindServiceByName(kWorldService);
     const Fence fence = aHost.Table().FindOwner(*service, mKeys[aSlot]).fence;
     mNetwork.Send(aHost.node, upstream->node, [this, &upstream, aSlot, fence] {
       OnRequest(*upstream, aSlot, fence.value);
