--- a/src/librattandyke/gateway/control_host_calls.cpp
+++ b/src/librattandyke/gateway/control_host_calls.cpp
@@ -290,7 +290,7 @@
     co_return ErrorResponse(changed.error());
   }
   Info() << "this host accepts a change of items: " << Summary(aChange)
-         << ", in force at index " << state.Applied().value;
+         << ", in force at index " << state.AppliedIndex().value;
   co_return HttpResponse{ kOk, "{}", "application/json" };
 }
 
@@ -327,7 +327,7 @@
   }
   Info() << "this host accepts " << phase << " of the evacuation of "
          << aEvacuation.dataCentre.value << ", in force at index "
-         << state.Applied().value;
+         << state.AppliedIndex().value;
   metrics.Increment("evacuations",
                     aEvacuation.ends ? "order=\"end\"" : "order=\"start\"");
   co_return HttpResponse{ kOk, "{}", "application/json" };
@@ -418,7 +418,7 @@
 ControlHost::Impl::RenderMetrics()
 {
   const consensus::GroupStatus status = driver->Status();
-  metrics.Set("state_index", static_cast<double>(state.Applied().value));
+  metrics.Set("state_index", static_cast<double>(state.AppliedIndex().value));
   metrics.Set("leads", driver->IsLeader() ? 1 : 0);
   metrics.Set("term", static_cast<double>(status.term.value));
   metrics.Set("members", static_cast<double>(status.members.size()));
--- a/src/librattandyke/gateway/control_host_feed.cpp
+++ b/src/librattandyke/gateway/control_host_feed.cpp
@@ -107,7 +107,8 @@
 bool
 ControlHost::Impl::MayBeUpToDateSoon() const
 {
-  return state.Applied().value > 0 && clock.Now() - upToDateAt < kRecoveryTime;
+  return state.AppliedIndex().value > 0 &&
+         clock.Now() - upToDateAt < kRecoveryTime;
 }
 
 /// Schedules the next CheckDeferredOpens. When all hosts start at once, entry
--- a/src/librattandyke/gateway/control_host_log.cpp
+++ b/src/librattandyke/gateway/control_host_log.cpp
@@ -57,7 +57,7 @@
 {
   if (aTerm) {
     Info() << "this host is the leader of term " << *aTerm << " at index "
-           << state.Applied().value;
+           << state.AppliedIndex().value;
     rangeAssigner.OnElected(state, clock.Now());
     entryRegistry.OnElected(state, clock.Now());
   } else {
--- a/src/librattandyke/gateway/entry_host.cpp
+++ b/src/librattandyke/gateway/entry_host.cpp
@@ -116,7 +116,7 @@
     if (aCommand == nullptr) {
       relay.OnStateReplaced();
     } else {
-      relay.Publish(*aCommand, feed.CurrentState().Applied());
+      relay.Publish(*aCommand, feed.CurrentState().AppliedIndex());
       relay.Flush();
     }
   }
--- a/src/librattandyke/gateway/feed_client.cpp
+++ b/src/librattandyke/gateway/feed_client.cpp
@@ -288,7 +288,7 @@
         } });
     wire::GatewayFrame frame;
     *frame.mutable_feed_open()->mutable_entry() = options.self;
-    frame.mutable_feed_open()->set_applied(state.Applied().value);
+    frame.mutable_feed_open()->set_applied(state.AppliedIndex().value);
     frame.mutable_feed_open()->set_reads_packed(true);
     newConnection->Send(frame.SerializeAsString());
   }
@@ -315,7 +315,7 @@
     if (receiveTime >= Duration(kSlowMessage) ||
         processTime >= Duration(kSlowMessage)) {
       Info() << "this entry host took a long message bytes=" << aMessage.size()
-             << " index=" << state.Applied().value
+             << " index=" << state.AppliedIndex().value
              << " arriving_ms=" << Ms(receiveTime)
              << " taking_ms=" << Ms(processTime);
     }
@@ -377,7 +377,7 @@
 
   void OnSnapshot(const wire::FeedSnapshot& aSnapshot)
   {
-    if (aSnapshot.state().applied() <= state.Applied().value) {
+    if (aSnapshot.state().applied() <= state.AppliedIndex().value) {
       return;
     }
     state.Load(aSnapshot.state());
@@ -387,7 +387,7 @@
 
   void OnCommand(const wire::FeedCommand& aCommand)
   {
-    if (aCommand.index() <= state.Applied().value) {
+    if (aCommand.index() <= state.AppliedIndex().value) {
       return;
     }
     // A command that fails to apply has no effect, here as on control hosts.
@@ -400,13 +400,13 @@
   void OnPing(const wire::FeedPing& aPing)
   {
     const Duration age = milliseconds{ aPing.age_ms() };
-    if (aPing.applied() < state.Applied().value || age >= kPingTimeout) {
+    if (aPing.applied() < state.AppliedIndex().value || age >= kPingTimeout) {
       return; // The host is behind or partitioned, so it confirms nothing.
     }
     lastHeardAt = clock.Now();
     if (!confirmed) {
       Info() << "this entry host follows " << currentHost << " at index "
-             << state.Applied().value;
+             << state.AppliedIndex().value;
     }
     // The age includes that of the sender's state. Otherwise two entry hosts
     // that are partitioned together could confirm each other's state forever.
--- a/src/librattandyke/gateway/feed_server.cpp
+++ b/src/librattandyke/gateway/feed_server.cpp
@@ -156,7 +156,7 @@
 FeedServer::SendSnapshot(const Connection& aConnection,
                          const Subscriber& aSubscriber)
 {
-  const uint64_t applied = mState.Applied().value;
+  const uint64_t applied = mState.AppliedIndex().value;
   const uint64_t maxTail = std::max(
     kMinSnapshotTail, mState.Instances().size() / kSnapshotTailDivisor);
   const bool reusable = mSnapshot && mSnapshotIndex >= mTrimmedIndex &&
@@ -181,7 +181,7 @@
 void
 FeedServer::CatchUp(const Connection& aConnection, Subscriber& aSubscriber)
 {
-  const uint64_t applied = mState.Applied().value;
+  const uint64_t applied = mState.AppliedIndex().value;
   aSubscriber.ahead = aSubscriber.sentIndex > applied;
   if (aSubscriber.sentIndex >= applied) {
     return;
@@ -261,7 +261,7 @@
   mHistory.clear();
   mHistoryCommands = 0;
   mSnapshot.reset();
-  mTrimmedIndex = mState.Applied().value;
+  mTrimmedIndex = mState.AppliedIndex().value;
 }
 
 void
@@ -299,7 +299,7 @@
   }
   wire::GatewayFrame frame;
   wire::FeedPing* ping = frame.mutable_feed_ping();
-  ping->set_applied(mState.Applied().value);
+  ping->set_applied(mState.AppliedIndex().value);
   ping->set_age_ms(static_cast<uint32_t>(
     std::chrono::duration_cast<std::chrono::milliseconds>(aAge).count()));
   if (found->second.controlHosts != aControlHosts) {
--- a/src/librattandyke/gateway/feed_test.cpp
+++ b/src/librattandyke/gateway/feed_test.cpp
@@ -66,7 +66,7 @@
   /// does.
   static void ApplyIfNew(State& aState, const wire::FeedCommand& aCommand)
   {
-    if (aCommand.index() > aState.Applied().value) {
+    if (aCommand.index() > aState.AppliedIndex().value) {
       EXPECT_TRUE(
         aState.Apply(aCommand.command(), LogIndex{ aCommand.index() }));
     }
@@ -139,7 +139,7 @@
   ASSERT_FALSE(second->frames.empty());
   EXPECT_EQ(first->frames.front(), second->frames.front());
   for (const auto& subscriber : { first, second }) {
-    EXPECT_EQ(subscriber->CurrentState().Applied(), state.Applied());
+    EXPECT_EQ(subscriber->CurrentState().AppliedIndex(), state.AppliedIndex());
     EXPECT_EQ(subscriber->CurrentState().Instances().size(), 40U);
   }
 }
@@ -178,7 +178,7 @@
     EXPECT_EQ(server.MessagesSent() - before, subscribers.size());
   }
   for (const auto& subscriber : subscribers) {
-    EXPECT_EQ(subscriber->CurrentState().Applied(), state.Applied());
+    EXPECT_EQ(subscriber->CurrentState().AppliedIndex(), state.AppliedIndex());
   }
 }
 
@@ -329,7 +329,7 @@
     wire::GatewayFrame snapshot;
     *snapshot.mutable_feed_snapshot()->mutable_state() = state.Save();
     wire::GatewayFrame ping;
-    ping.mutable_feed_ping()->set_applied(state.Applied().value);
+    ping.mutable_feed_ping()->set_applied(state.AppliedIndex().value);
     mBytes = Framed(snapshot) + Framed(ping);
     Accept();
   }
--- a/src/librattandyke/gateway/range_assigner_loads.cpp
+++ b/src/librattandyke/gateway/range_assigner_loads.cpp
@@ -44,7 +44,8 @@
                             Instant aNow)
 {
   ServicePlan& plan = mPlans[aService];
-  const bool changed = plan.loadsStale || plan.loadsIndex != aState.Applied();
+  const bool changed =
+    plan.loadsStale || plan.loadsIndex != aState.AppliedIndex();
   const bool due =
     !plan.loadsIndex ||
     aNow - plan.loadsComputedAt >=
@@ -55,7 +56,7 @@
     for (const auto& [id, owner] : plan.ownerLoads) {
       plan.totalSpeed += owner.speed;
     }
-    plan.loadsIndex = aState.Applied();
+    plan.loadsIndex = aState.AppliedIndex();
     plan.loadsStale = false;
     plan.loadsComputedAt = aNow;
     ++mLoadComputations;
--- a/src/librattandyke/gateway/request_handler.cpp
+++ b/src/librattandyke/gateway/request_handler.cpp
@@ -311,7 +311,7 @@
 RequestHandler::MetricsPage()
 {
   const State& state = mFeed.CurrentState();
-  mMetrics.Set("state_index", static_cast<double>(state.Applied().value));
+  mMetrics.Set("state_index", static_cast<double>(state.AppliedIndex().value));
   mMetrics.Set("state_age_seconds",
                std::chrono::duration<double>(mFeed.StateAge()).count());
   mMetrics.Set("entries", static_cast<double>(state.Entries().size()));
@@ -353,7 +353,7 @@
   if (!progress.route) {
     LogLine(id) << "no route matches the request host=" << host
                 << " path=" << path
-                << " index=" << mFeed.CurrentState().Applied().value
+                << " index=" << mFeed.CurrentState().AppliedIndex().value
                 << " age_ms=" << Milliseconds(mFeed.StateAge());
     co_return MakeResponse(kNotFound, id, "no route matches the request");
   }
@@ -646,7 +646,7 @@
               << " reason=" << aReason << " last=" << aProgress.lastFailure
               << " owner=" << (aProgress.owner.empty() ? "-" : aProgress.owner)
               << " upstream=" << aProgress.lastUpstream
-              << " index=" << mFeed.CurrentState().Applied().value
+              << " index=" << mFeed.CurrentState().AppliedIndex().value
               << " age_ms=" << Milliseconds(mFeed.StateAge())
               << " after_ms=" << Milliseconds(mClock.Now() - aProgress.arrived);
   return MakeResponse(kUnavailable, id, aReason, aRetryAfter);
--- a/src/librattandyke/gateway/slot_broker_test.cpp
+++ b/src/librattandyke/gateway/slot_broker_test.cpp
@@ -81,7 +81,7 @@
 TEST_F(SlotBrokerTest, UpstreamMovedToAnotherServiceServesQueuedRequests)
 {
   State state = StateWith({ "a" }, 1);
-  uint64_t index = state.Applied().value;
+  uint64_t index = state.AppliedIndex().value;
   const auto put = [&](const std::string& aService, uint64_t aIncarnation) {
     wire::GatewayCommand command;
     wire::UpstreamInstance* instance =
--- a/src/librattandyke/gateway/state.h
+++ b/src/librattandyke/gateway/state.h
@@ -31,7 +31,7 @@
   Result<void> Apply(const wire::GatewayCommand& aCommand, LogIndex aIndex);
 
   /// @return the log index of the last applied command.
-  LogIndex Applied() const { return mAppliedIndex; }
+  LogIndex AppliedIndex() const { return mAppliedIndex; }
 
   /// @return the configuration items.
   const ItemTable& Items() const { return mItems; }
