--- a/src/librattandyke/gateway/request_context.cpp
+++ b/src/librattandyke/gateway/request_context.cpp
@@ -4,8 +4,8 @@
 
 namespace {
 
-constexpr const char* kCallerDisconnected = "the caller disconnected";
-constexpr const char* kDeadlinePassed = "no response before the deadline";
+constexpr const char* kCallerDisconnected = "the caller left";
+constexpr const char* kDeadlinePassed = "no answer in time";
 
 } // namespace
 
--- a/src/librattandyke/gateway/request_handler.cpp
+++ b/src/librattandyke/gateway/request_handler.cpp
@@ -337,11 +337,11 @@
   if (!HasState()) {
     co_return MakeResponse(kUnavailable,
                            id,
-                           "this host has received no configuration yet",
+                           "no configuration is known yet",
                            Duration(kRetryAfterNoState));
   }
   if (id.empty()) {
-    co_return MakeResponse(kBadRequest, id, "the request id header is missing");
+    co_return MakeResponse(kBadRequest, id, "the request has no id");
   }
   const std::string_view host =
     WithoutPort(http::FieldOf(aRequest.fields, "Host"));
@@ -355,7 +355,7 @@
                 << " path=" << path
                 << " index=" << mFeed.CurrentState().AppliedIndex().value
                 << " age_ms=" << Milliseconds(mFeed.StateAge());
-    co_return MakeResponse(kNotFound, id, "no route matches the request");
+    co_return MakeResponse(kNotFound, id, "no route matches");
   }
   progress.context = std::move(aContext);
   progress.service = NextService(*progress.route);
@@ -365,8 +365,7 @@
   if (OwnsKeys(progress.service)) {
     const auto key = ParseNumber(http::FieldOf(aRequest.fields, mHeaders.key));
     if (!key || *key > kMaxKey) {
-      co_return MakeResponse(
-        kBadRequest, id, "the key header is missing or invalid");
+      co_return MakeResponse(kBadRequest, id, "the request has no key");
     }
     progress.key = static_cast<uint32_t>(*key);
     CountKeyRequest(progress.service, *progress.key);
@@ -556,7 +555,7 @@
       co_return NotExecutedResponse(aProgress,
                                     unavailable.retryAfter,
                                     full ? "all upstreams are full"
-                                         : "no upstream is available");
+                                         : "no upstream");
     }
     const bool late =
       mClock.Now() + Duration(kReturnMargin) >= aProgress.deadline;
--- a/src/librattandyke/gateway/request_handler_link.cpp
+++ b/src/librattandyke/gateway/request_handler_link.cpp
@@ -82,8 +82,7 @@
                       mClock.Now());
   if (retryAfter) {
     mMetrics.Increment("link_refusals", "");
-    co_return NotExecutedResponse(
-      aProgress, *retryAfter, "the host's link has no capacity");
+    co_return NotExecutedResponse(aProgress, *retryAfter, "the link is full");
   }
   CallerResponse response = co_await RunAttempts(aProgress);
   // Admit() has counted the expected bytes. An upstream's response has a
--- a/src/librattandyke/gateway/upstream_client.cpp
+++ b/src/librattandyke/gateway/upstream_client.cpp
@@ -259,9 +259,8 @@
     if (!connection || aHandle->IsCancelled()) {
       aHandle->DetachConnection();
       co_return MakeResult(AttemptResult::Kind::NotSent,
-                           aHandle->IsCancelled()
-                             ? aHandle->CancelReason()
-                             : "the upstream can't be reached");
+                           aHandle->IsCancelled() ? aHandle->CancelReason()
+                                                  : "can't be reached");
     }
   }
   const Instant sentAt = mClock.Now();
@@ -269,8 +268,7 @@
   if (left < Duration(kMinDeadline)) {
     aHandle->DetachConnection();
     PoolOrClose(aProcess, connection);
-    co_return MakeResult(AttemptResult::Kind::NotSent,
-                         "no time is left to send the request");
+    co_return MakeResult(AttemptResult::Kind::NotSent, "no time is left");
   }
   std::string head = FormatHead(aProcess.instance, *aRequest, left);
   const bool bodyInline = aRequest->body.size() <= kMaxInlineBodyBytes;
@@ -283,7 +281,7 @@
     aHandle->DetachConnection();
     connection->Close();
     co_return MakeResult(AttemptResult::Kind::OutcomeUnknown,
-                         "writing the request failed: " + writeError.message());
+                         "writing failed: " + writeError.message());
   }
   auto bodyWritten = std::make_shared<bool>(bodyInline);
   if (!bodyInline) {
@@ -340,7 +338,7 @@
       aConnection->socket, aConnection->buffer, parser, kAwait);
     if (error) {
       co_return MakeResult(AttemptResult::Kind::OutcomeUnknown,
-                           "the response is incomplete: " + error.message());
+                           "no whole answer: " + error.message());
     }
     auto& message = parser.get();
     UpstreamResponse response;
@@ -356,7 +354,7 @@
       // not reach the caller of this request.
       if (!keepAlive) {
         co_return MakeResult(AttemptResult::Kind::OutcomeUnknown,
-                             "the response belongs to another request");
+                             "the answer belongs to another request");
       }
       continue;
     }
@@ -366,7 +364,7 @@
     co_return Classify(std::move(response));
   }
   co_return MakeResult(AttemptResult::Kind::OutcomeUnknown,
-                       "too many responses to other requests");
+                       "too many answers to other requests");
 }
 
 AttemptResult
@@ -381,8 +379,7 @@
       (aResponse.status == kMisdirected || has(mHeaders.notExecuted))) {
     AttemptResult result =
       MakeResult(AttemptResult::Kind::NotExecuted,
-                 "the upstream refused the request with status " +
-                   std::to_string(aResponse.status));
+                 "refused with " + std::to_string(aResponse.status));
     result.response = std::move(aResponse);
     return result;
   }
@@ -391,9 +388,8 @@
   // not pass such a status on.
   if (ImpliesNotExecuted(aResponse.status)) {
     return MakeResult(AttemptResult::Kind::OutcomeUnknown,
-                      "the upstream refused the request with status " +
-                        std::to_string(aResponse.status) +
-                        " without proof that the request did not run");
+                      "refused with " + std::to_string(aResponse.status) +
+                        " and without proof");
   }
   // A faulty upstream may send data that looks like a response. The signature
   // and the request id show that it is genuine. This host requests no content
@@ -401,8 +397,8 @@
   if (!has(mHeaders.signature) || !has(mHeaders.requestId) ||
       has("Content-Encoding")) {
     return MakeResult(AttemptResult::Kind::OutcomeUnknown,
-                      "the response with status " +
-                        std::to_string(aResponse.status) + " is not genuine");
+                      "the answer " + std::to_string(aResponse.status) +
+                        " is not the upstream's own");
   }
   AttemptResult result = MakeResult(AttemptResult::Kind::Response, "");
   result.response = std::move(aResponse);
